--- a/agent/src/application/server.rs
+++ b/agent/src/application/server.rs
@@ -4,6 +4,7 @@
 use crate::driver::Driver;
 use crate::renderers::upstream::{forwarded, Served};
 use crate::traffic::body::{Hold, Intake, Reply, Unread, BUFFER, KEPT_MOST, REQUEST_MOST};
+use crate::traffic::errors::concerns_one_connection;
 use crate::traffic::pace::{Asked, Pace, Patience, Timed};
 use crate::traffic::socket::Socket;
 use bytes::BytesMut;
@@ -34,7 +35,8 @@
 const WAIT_MOST: Duration = Duration::from_secs(600);
 /// The balancer ends each request by its deadline; should it not, the agent does, this much later.
 const OVERDUE: Duration = Duration::from_millis(4);
-/// Pause after an accept that failed, or descriptors that have run out would make the loop spin.
+/// Pause after an accept that failed for more than one connection, or descriptors that have run out would make the loop
+/// spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// After SIGTERM new connections go on coming for a while; each is still taken.
 pub const ACCEPT_ON: Duration = Duration::from_millis(650);
@@ -84,6 +86,7 @@
                 let Ok(place) = self.places.clone().acquire_owned().await else { return };
                 match listener.accept().await {
                     Ok((stream, _)) => self.serve(stream, place),
+                    Err(why) if concerns_one_connection(&why) => {}
                     Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
                 }
             }
--- /dev/null
+++ b/agent/src/traffic/errors.rs
@@ -0,0 +1,23 @@
+//! What the errors of the system's calls on sockets say: of one connection, or of the agent's own want.
+
+use std::io;
+
+/// Whether `accept` failed for the connection that it would have taken (accept(2)), and the next one may be good.
+pub fn concerns_one_connection(error: &io::Error) -> bool {
+    matches!(
+        error.raw_os_error(),
+        Some(
+            libc::ECONNABORTED
+                | libc::EINTR
+                | libc::EPERM
+                | libc::EPROTO
+                | libc::ENOPROTOOPT
+                | libc::ENETDOWN
+                | libc::EHOSTDOWN
+                | libc::ENONET
+                | libc::EHOSTUNREACH
+                | libc::EOPNOTSUPP
+                | libc::ENETUNREACH
+        )
+    )
+}
--- a/agent/src/traffic/mod.rs
+++ b/agent/src/traffic/mod.rs
@@ -1,5 +1,6 @@
-//! What both sides of the agent share: bodies on their way, and the pace at which they come.
+//! What both sides of the agent share: bodies on their way, the pace at which they come, and the errors of sockets.
 
 pub mod body;
+pub mod errors;
 pub mod pace;
 pub mod socket;
--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,13 +5,14 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 24] = [
+const LAYERS: [&str; 25] = [
     "list",
     "forms",
     "figures",
     "log",
     "config/fleet",
     "config",
+    "traffic/errors",
     "traffic/socket",
     "traffic/pace",
     "traffic/body",
--- a/agent/tests/syscalls.rs
+++ b/agent/tests/syscalls.rs
@@ -31,3 +31,40 @@
         assert!(backend.next().await.body == body.as_bytes());
     }
 }
+
+/// A connection that has failed before it was taken says nothing of the next one.
+#[tokio::test]
+async fn connections_that_failed_in_the_queue_do_not_hold_up_others() {
+    // With a pause of 20 ms after each this lasts twice as long as an answer is waited for.
+    const FAILED: usize = 3000;
+    let directory = Directory::start(Mood::Mute).await;
+    let errors = [
+        "ECONNABORTED",
+        "EINTR",
+        "EPERM",
+        "EPROTO",
+        "ENOPROTOOPT",
+        "ENETDOWN",
+        "EHOSTDOWN",
+        "ENONET",
+        "EHOSTUNREACH",
+        "EOPNOTSUPP",
+        "ENETUNREACH",
+    ];
+    for error in errors {
+        let schedule = format!("accept {error} times={FAILED}");
+        let agent = agent_that_meets(&schedule, directory.address, &[]).await;
+        assert_eq!(agent.get("/of/no/class").await.status(), 404, "{error}");
+    }
+}
+
+/// What the system refuses for want of descriptors or memory is asked for again.
+#[tokio::test]
+async fn connections_are_taken_after_a_shortage() {
+    let directory = Directory::start(Mood::Mute).await;
+    for error in ["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"] {
+        let schedule = format!("accept {error} times=5");
+        let agent = agent_that_meets(&schedule, directory.address, &[]).await;
+        assert_eq!(agent.get("/of/no/class").await.status(), 404, "{error}");
+    }
+}
