--- a/agent/src/application/server.rs
+++ b/agent/src/application/server.rs
@@ -4,7 +4,7 @@
 use crate::driver::Driver;
 use crate::renderers::upstream::{forwarded, Served};
 use crate::traffic::body::{Hold, Intake, Reply, Unread, BUFFER, KEPT_MOST, REQUEST_MOST};
-use crate::traffic::errors::concerns_one_connection;
+use crate::traffic::errors::{concerns_one_connection, is_shortage};
 use crate::traffic::pace::{Asked, Pace, Patience, Timed};
 use crate::traffic::socket::Socket;
 use bytes::BytesMut;
@@ -18,6 +18,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use micasail::{ClassId, Effect, KeyId, RequestId, Span, TenantId};
 use micasail_settings::fnv1a;
+use socket2::SockRef;
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::future::Future;
@@ -27,7 +28,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 use tokio::task::yield_now;
-use tokio::time::{sleep_until, timeout_at, Instant};
+use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
 /// The part of a client's wait that is kept for writing the answer.
 const ANSWER_ROOM: Duration = Duration::from_millis(6);
@@ -87,7 +88,7 @@
                 match listener.accept().await {
                     Ok((stream, _)) => self.serve(stream, place),
                     Err(why) if concerns_one_connection(&why) => {}
-                    Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                    Err(_) => sleep(ACCEPT_PAUSE).await,
                 }
             }
         };
@@ -95,12 +96,25 @@
             () = taken => return,
             _ = stay.wait_for(|stay| *stay == Stay::Closed) => {}
         }
-        // What the system has accepted is the agent's, and would be reset with the listener.
-        let Ok(listener) = listener.into_std() else { return };
+        self.take_queue(&listener).await;
+    }
+
+    /// Takes what the system has accepted, which would be reset with the listener. It asks the system, as the runtime may
+    /// not have heard of all yet. How long a shortage is waited out is up to the caller.
+    async fn take_queue(self: &Rc<Self>, listener: &TcpListener) {
         while let Ok(place) = self.places.clone().acquire_owned().await {
-            let Ok((stream, _)) = listener.accept() else { return };
-            if let Ok(stream) = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
-                self.serve(stream, place);
+            match SockRef::from(listener).accept() {
+                Ok((socket, _)) => {
+                    let stream =
+                        socket.set_nonblocking(true).and_then(|()| TcpStream::from_std(socket.into()));
+                    if let Ok(stream) = stream {
+                        self.serve(stream, place);
+                    }
+                }
+                Err(why) if concerns_one_connection(&why) => {}
+                Err(why) if is_shortage(&why) => sleep(ACCEPT_PAUSE).await,
+                // The queue is empty, or there is none any more.
+                Err(_) => return,
             }
         }
     }
--- a/agent/src/traffic/errors.rs
+++ b/agent/src/traffic/errors.rs
@@ -21,3 +21,8 @@
         )
     )
 }
+
+/// Whether a call failed as the agent or its system has run out of descriptors or memory for now.
+pub fn is_shortage(error: &io::Error) -> bool {
+    matches!(error.raw_os_error(), Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM))
+}
--- a/agent/tests/syscalls.rs
+++ b/agent/tests/syscalls.rs
@@ -68,3 +68,43 @@
         assert_eq!(agent.get("/of/no/class").await.status(), 404, "{error}");
     }
 }
+
+/// What waits in the queue at a planned end is the agent's, also while every other attempt to take some of it fails.
+#[tokio::test]
+async fn what_waits_in_the_queue_at_a_planned_end_is_taken_past_failures() {
+    tokio::join!(
+        a_queue_is_taken_past("ECONNABORTED"),
+        a_queue_is_taken_past("EINTR"),
+        a_queue_is_taken_past("EMFILE"),
+        a_queue_is_taken_past("ENOMEM")
+    );
+}
+
+async fn a_queue_is_taken_past(error: &str) {
+    // The agent has places for some fewer than these.
+    const MUTE: usize = 40;
+    const ASKING: usize = 20;
+    let directory = Directory::start(Mood::Mute).await;
+    let mut config = config(directory.address, &[]);
+    config["limits"]["sockets"] = 80.into();
+    let schedule = format!("accept {error} every=2");
+    let mut agent = Agent::with(config, |command| faults::meet(command, &schedule)).await;
+    // Those that have sent nothing keep their places until the listener closes.
+    let mut mute = Vec::new();
+    for _ in 0..MUTE {
+        mute.push(agent.client().await);
+    }
+    let mut asking = Vec::new();
+    for _ in 0..ASKING {
+        let mut client = agent.client().await;
+        client.send(&request("GET", "/of/no/class", "2000m", "")).await;
+        asking.push(client);
+    }
+    agent.term().await;
+    for (number, client) in asking.iter_mut().enumerate() {
+        let answer = soon("an answer or an end", read_message(&mut client.stream, 0)).await;
+        assert_eq!(answer.map_or(0, |answer| answer.status()), 404, "{error}, client {number}");
+    }
+    drop(mute);
+    assert!(agent.end().await.success());
+}
