--- a/agent/src/renderers/upstream.rs
+++ b/agent/src/renderers/upstream.rs
@@ -5,6 +5,7 @@
 
 use crate::figures::Figures;
 use crate::list::{Health, Host};
+use crate::renderers::connect::{connect, ConnectError};
 use crate::traffic::body::{Budget, Intake, Outgoing, Reply, BUFFER, KEPT_MOST};
 use crate::traffic::socket::Socket;
 use bytes::Bytes;
@@ -18,6 +19,7 @@
 use micasail::{Outcome, ServerId};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
+use std::fmt;
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
@@ -25,7 +27,6 @@
 use std::rc::Rc;
 use std::task::{ready, Context, Poll};
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::sync::{oneshot, Notify};
 use tokio::task::JoinHandle;
 use tokio::time::{timeout, timeout_at, Instant};
@@ -209,6 +210,42 @@
     }
 }
 
+/// Why there is no connection for an attempt.
+enum Unconnected {
+    /// The list has no address of the backend.
+    NoAddress,
+    /// The agent holds as many connections as it may.
+    NoPlace,
+    /// It could not be opened.
+    Failed(ConnectError),
+    /// It did not come up in time.
+    Late,
+}
+
+impl Unconnected {
+    /// Where the agent itself could not begin, nothing was tried, and the backend must not pass for one that cannot be
+    /// reached.
+    fn outcome(&self) -> Outcome {
+        match self {
+            Unconnected::NoPlace | Unconnected::Failed(ConnectError::Local(_)) => Outcome::NotSent,
+            Unconnected::NoAddress | Unconnected::Failed(ConnectError::Remote(_)) | Unconnected::Late => {
+                Outcome::ConnectFailed
+            }
+        }
+    }
+}
+
+impl fmt::Display for Unconnected {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Unconnected::NoAddress => write!(f, "no address"),
+            Unconnected::NoPlace => write!(f, "no place"),
+            Unconnected::Failed(why) => write!(f, "no connection: {why}"),
+            Unconnected::Late => write!(f, "no connection in time"),
+        }
+    }
+}
+
 /// A backend as the list last described it.
 struct Remote {
     dial: Option<SocketAddr>,
@@ -307,12 +344,11 @@
         });
     }
 
-    /// The most recently used connection that still stands, or a fresh one. Where the agent has no place for one
-    /// more, nothing was tried, and the backend must not pass for one that cannot be reached.
-    async fn connection(self: &Rc<Self>, server: ServerId) -> Result<Connection, Outcome> {
+    /// The most recently used connection that still stands, or a fresh one.
+    async fn connection(self: &Rc<Self>, server: ServerId) -> Result<Connection, Unconnected> {
         let (dial, life) = {
             let mut remotes = self.remotes.borrow_mut();
-            let remote = remotes.get_mut(&server).ok_or(Outcome::ConnectFailed)?;
+            let remote = remotes.get_mut(&server).ok_or(Unconnected::NoAddress)?;
             while let Some(connection) = remote.idle.pop() {
                 let stands = connection.idle_since.elapsed() < self.idle_most && connection.sender.is_ready();
                 // Its end, or half a line, may have come without the connection's task having run since.
@@ -320,16 +356,19 @@
                     return Ok(connection);
                 }
             }
-            (remote.dial.ok_or(Outcome::ConnectFailed)?, remote.life)
+            (remote.dial.ok_or(Unconnected::NoAddress)?, remote.life)
         };
-        let place = self.place().ok_or(Outcome::NotSent)?;
+        let place = self.place().ok_or(Unconnected::NoPlace)?;
         // A task of its own: when its attempt is given up meanwhile, the connection, which has cost the
         // backend work by then, serves the next one.
         let (tell, told) = oneshot::channel();
         let upstream = self.clone();
         tokio::task::spawn_local(async move {
-            let opened = timeout(upstream.connect_timeout, open(dial)).await;
-            let opened = opened.ok().and_then(Result::ok).map(|(sender, socket, task, wire)| Connection {
+            let opened = match timeout(upstream.connect_timeout, open(dial)).await {
+                Ok(opened) => opened.map_err(Unconnected::Failed),
+                Err(_) => Err(Unconnected::Late),
+            };
+            let opened = opened.map(|(sender, socket, task, wire)| Connection {
                 sender,
                 socket,
                 task,
@@ -339,11 +378,11 @@
                 idle_since: Instant::now(),
                 _place: place,
             });
-            if let Err(Some(connection)) = tell.send(opened) {
+            if let Err(Ok(connection)) = tell.send(opened) {
                 upstream.park(connection);
             }
         });
-        told.await.ok().flatten().ok_or(Outcome::ConnectFailed)
+        told.await.unwrap_or(Err(Unconnected::Late))
     }
 
     /// A place for one more connection; an idle one of another backend gives way if all are taken.
@@ -388,10 +427,8 @@
         progress: &Progress,
     ) -> Ended {
         let exchange = async {
-            let connection = self.connection(server).await.map_err(|outcome| {
-                let why = if outcome == Outcome::NotSent { "no place" } else { "no connection" };
-                (Some(outcome), why.to_owned())
-            })?;
+            let connection = self.connection(server).await;
+            let connection = connection.map_err(|why| (Some(why.outcome()), why.to_string()))?;
             if progress.stopped.get() {
                 self.park(connection);
                 return Err((None, "called off".to_owned()));
@@ -441,7 +478,7 @@
             let Ok(request) = request else { return Ended::without_answer(Outcome::NotSent) };
             let connection = match self.connection(server).await {
                 Ok(connection) => connection,
-                Err(outcome) => return Ended::without_answer(outcome),
+                Err(why) => return Ended::without_answer(why.outcome()),
             };
             let ended = self.exchange(connection, request).await;
             let mut ended = ended.unwrap_or_else(|_| Ended::without_answer(Outcome::ConnectionReset));
@@ -555,12 +592,14 @@
     }
 }
 
-async fn open(dial: SocketAddr) -> io::Result<(SendRequest<Outgoing>, Socket, JoinHandle<()>, Rc<Wire>)> {
-    let socket = Socket::new(TcpStream::connect(dial).await?);
+async fn open(
+    dial: SocketAddr,
+) -> Result<(SendRequest<Outgoing>, Socket, JoinHandle<()>, Rc<Wire>), ConnectError> {
+    let socket = Socket::new(connect(dial).await?);
     let wire = Rc::<Wire>::default();
     let io = Counted { io: TokioIo::new(socket.clone()), wire: wire.clone() };
-    let (sender, driven) =
-        Builder::new().max_buf_size(BUFFER).handshake(io).await.map_err(io::Error::other)?;
+    let handshake = Builder::new().max_buf_size(BUFFER).handshake(io).await;
+    let (sender, driven) = handshake.map_err(|why| ConnectError::Remote(io::Error::other(why)))?;
     let task = tokio::task::spawn_local(async move {
         // How it ended shows at the sender and in the bytes written.
         let _ = driven.await;
--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,7 +5,7 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 25] = [
+const LAYERS: [&str; 26] = [
     "list",
     "forms",
     "figures",
@@ -16,6 +16,7 @@
     "traffic/socket",
     "traffic/pace",
     "traffic/body",
+    "renderers/connect",
     "renderers/upstream",
     "renderers/discovery",
     "peers/handover",
--- a/agent/tests/syscalls.rs
+++ b/agent/tests/syscalls.rs
@@ -108,3 +108,41 @@
     drop(mute);
     assert!(agent.end().await.success());
 }
+
+/// A connect that fails for the agent's own want is no failure of the server.
+#[tokio::test]
+async fn the_agents_own_want_does_not_count_against_a_server() {
+    for error in ["EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS", "ENOMEM", "EINTR"] {
+        no_server_is_blamed_for(&format!("connect {error} times=6")).await;
+    }
+    // The first sockets are the listeners' and discovery's.
+    for error in ["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"] {
+        no_server_is_blamed_for(&format!("socket {error} from=4 times=6")).await;
+    }
+}
+
+async fn no_server_is_blamed_for(schedule: &str) {
+    let backends =
+        [Backend::start(|_| Reply::Bytes(ok("x"))).await, Backend::start(|_| Reply::Bytes(ok("x"))).await];
+    let hosts = [host("s", backends[0].address, "up"), host("t", backends[1].address, "up")];
+    let directory = Directory::start(Mood::Mute).await;
+    let mut config = config(directory.address, &hosts);
+    config["operator"] = "127.0.0.1:0".into();
+    let agent = Agent::with(config, |command| faults::meet(command, schedule)).await;
+    // What could not be sent anywhere is refused; both serve once the faults are over.
+    soon("an answer of each server", async {
+        loop {
+            let status = agent.get("/read").await.status();
+            assert!([200, 429].contains(&status), "{schedule}: {status}");
+            let told = agent.figures("renderers").await;
+            let servers = told["renderers"].as_array().expect("a list");
+            for server in servers {
+                assert_eq!((&server["failed"], &server["doubted"]), (&0.into(), &false.into()), "{schedule}");
+            }
+            if servers.iter().all(|server| server["answered"] != 0) {
+                return;
+            }
+        }
+    })
+    .await;
+}
