--- a/agent/tests/syscalls.rs
+++ b/agent/tests/syscalls.rs
@@ -146,3 +146,44 @@
     })
     .await;
 }
+
+/// The errors by which a way that has gone shows on an open connection (tcp(7)).
+const LOST_WAY: [&str; 2] = ["ETIMEDOUT", "EHOSTUNREACH"];
+
+/// A request that may run once at most, two servers, and faults on the connections to each, written with `port=`; the answer's
+/// status, and how many whole requests have come to servers.
+async fn pay_once(faults: &[String]) -> (u16, usize) {
+    let mut backends =
+        [Backend::start(|_| Reply::Bytes(ok("x"))).await, Backend::start(|_| Reply::Bytes(ok("x"))).await];
+    let hosts = [host("s", backends[0].address, "up"), host("t", backends[1].address, "up")];
+    let directory = Directory::start(Mood::Mute).await;
+    let rules = backends.iter().flat_map(|backend| {
+        let port = backend.address.port();
+        faults.iter().map(move |fault| format!("{fault} port={port}"))
+    });
+    let schedule = rules.collect::<Vec<_>>().join("; ");
+    let agent = agent_that_meets(&schedule, directory.address, &hosts).await;
+    let answer = agent.client().await.ask(&request("POST", "/pay", "2000m", "body")).await;
+    let mut whole = 0;
+    for backend in &mut backends {
+        while backend.seen.try_recv().is_ok() {
+            whole += 1;
+        }
+    }
+    (answer.status(), whole)
+}
+
+/// Whether an attempt may have run rests on the bytes that went out, and not on the error that ended its connection.
+#[tokio::test]
+async fn a_lost_way_does_not_change_whether_an_attempt_may_have_run() {
+    for error in LOST_WAY {
+        let after_all = [format!("read {error}")];
+        assert_eq!(pay_once(&after_all).await, (502, 1), "{error} after all was written");
+        let after_pieces = ["write short=40".to_owned(), format!("read {error}")];
+        assert_eq!(pay_once(&after_pieces).await, (502, 1), "{error} after all was written in pieces");
+        let before_all = [format!("write {error} times=1")];
+        assert_eq!(pay_once(&before_all).await, (200, 1), "{error} before anything was written");
+        let between = ["write short=40 times=1".to_owned(), format!("write {error} from=2 times=1")];
+        assert_eq!(pay_once(&between).await, (200, 1), "{error} after a part was written");
+    }
+}
