--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,16 +5,18 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 24] = [
+const LAYERS: [&str; 26] = [
     "list",
     "forms",
     "figures",
     "log",
     "config/fleet",
     "config",
+    "traffic/errors",
     "traffic/socket",
     "traffic/pace",
     "traffic/body",
+    "renderers/connect",
     "renderers/upstream",
     "renderers/discovery",
     "peers/handover",
