--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -3,6 +3,7 @@
 //! Nothing is decided here. Everything runs on one thread, so an event is handled, and its actions are carried
 //! out, before anything else happens; an action never calls back into the balancer, it queues an event.
 
+pub mod clock;
 pub mod queue;
 pub mod requests;
 pub mod servers;
@@ -14,13 +15,14 @@
 use crate::renderers::discovery::{Discovery, Listener, News, STEP};
 use crate::renderers::upstream::{Ended, Progress, Upstream};
 use crate::traffic::body::{Budget, Step};
+use clock::{Clock, WallClock};
 use hyper::StatusCode;
 use micasail::{
     Action, AttemptNo, Balancer, Effect, Event, Fleet, Lessons, ListUpdate, Outcome, RequestId, ServerId,
     SettingsError, Span, Status, Time, View, ZoneId,
 };
 use micasail_settings::Names;
-use queue::{Clock, Queue};
+use queue::Queue;
 use requests::{outgoing, Answer, Arrival, Open, Requests};
 use servers::{place, Servers};
 use std::cell::{Cell, RefCell};
@@ -45,6 +47,7 @@
 pub struct Driver {
     /// The balancer's clock.
     pub clock: Clock,
+    wall_clock: Rc<WallClock>,
     /// The names of the settings.
     pub names: Names,
     /// What each class would do twice, by its number.
@@ -63,6 +66,7 @@
     /// A driver that has the list that the configuration knows.
     pub fn start(config: Config, connections: usize) -> Result<Rc<Self>, SettingsError> {
         let clock = Clock::start();
+        let wall_clock = Rc::new(WallClock::new(clock));
         let effects = config.settings.classes.iter().map(|c| c.effect).collect();
         let figures = Figures::new(config.names.classes.len());
         let budget = Rc::new(Budget::of(config.memory_mb, config.shared));
@@ -82,11 +86,12 @@
         let state = State {
             queue: Queue::new(balancer, clock),
             requests: Requests::new(Log::new(clock.origin)),
-            servers: Servers::new(config.servers_most),
+            servers: Servers::new(config.servers_most, wall_clock.clone()),
             discovery: Discovery::new(config.discovery, connect_timeout, config.servers_most),
         };
         let driver = Rc::new(Driver {
             clock,
+            wall_clock,
             names: config.names,
             effects,
             accepts: Cell::new(false),
@@ -175,16 +180,35 @@
         self.state.borrow().servers.name(server).to_owned()
     }
 
-    /// What has been learned.
+    /// What has been learned. Servers' start times are as the list has them: another process, whose clock may have been
+    /// set otherwise when it heard of a start, can tell by those whether it knows the same server process.
     pub fn lessons(&self) -> Lessons {
-        self.state.borrow().queue.balancer.lessons(self.clock.now())
+        let state = self.state.borrow();
+        let mut lessons = state.queue.balancer.lessons(self.clock.now());
+        for lesson in &mut lessons.servers {
+            lesson.started = state.servers.born(lesson.server);
+        }
+        lessons
     }
 
-    /// Begins with what another process has learned.
-    pub fn learn(self: &Rc<Self>, lessons: Lessons) {
+    /// Begins with what another process has learned of the server processes that this one knows.
+    pub fn learn(self: &Rc<Self>, mut lessons: Lessons) {
+        {
+            let servers = &self.state.borrow().servers;
+            lessons.servers.retain(|lesson| lesson.started == servers.born(lesson.server));
+            for lesson in &mut lessons.servers {
+                lesson.started = servers.started(lesson.server);
+            }
+        }
         self.tell([Event::Learned(lessons)]);
     }
 
+    /// The balancer's time at which the wall clock of this machine has read this.
+    pub fn time_of_wall_clock(&self, reading: Time) -> Time {
+        self.wall_clock.check();
+        self.wall_clock.time(reading)
+    }
+
     /// Takes a server out of use for the operators, or brings it back as one that was out until `at`.
     pub fn cordon(self: &Rc<Self>, name: &str, out: bool, at: Time) {
         let server = self.state.borrow_mut().servers.keep(name);
@@ -321,6 +345,7 @@
 
     /// What discovery says; whether there is more to be done about it than fits beside requests.
     fn hear(self: &Rc<Self>, news: News) -> bool {
+        self.wall_clock.check();
         let (update, more) = {
             let mut state = self.state.borrow_mut();
             let describe = |server, host: &_| self.upstream.describe(server, host);
@@ -387,6 +412,7 @@
             self.pump();
             if Instant::now() >= sweep {
                 self.upstream.sweep();
+                self.wall_clock.check();
                 self.write_counts();
                 sweep = Instant::now() + SWEEP;
             }
--- a/agent/src/driver/queue.rs
+++ b/agent/src/driver/queue.rs
@@ -1,44 +1,12 @@
-//! The clock and the queue of the [`Balancer`]: what it is still to be told, in the order in which it happened, and the
-//! timers that it has set.
+//! The queue of the [`Balancer`]: what it is still to be told, in the order in which it happened, and the timers that it
+//! has set.
 
-use micasail::{Action, Balancer, Event, Span, Time, TimerId};
+use super::clock::Clock;
+use micasail::{Action, Balancer, Event, Time, TimerId};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The balancer's time: Unix time at the start, carried on by the monotonic clock. So a server's `born_ms` is
-/// a time of the same kind, and no step of the system's clock moves a deadline.
-#[derive(Clone, Copy)]
-pub struct Clock {
-    /// The start.
-    pub origin: Instant,
-    unix: Span,
-}
-
-impl Clock {
-    /// A clock that starts now.
-    pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { origin: Instant::now(), unix: Span(unix.as_micros() as u64) }
-    }
-
-    /// The time at `instant`.
-    pub fn at(&self, instant: Instant) -> Time {
-        Time(self.unix.0 + instant.saturating_duration_since(self.origin).as_micros() as u64)
-    }
-
-    /// The time now.
-    pub fn now(&self) -> Time {
-        self.at(Instant::now())
-    }
-
-    /// The instant of `time`.
-    pub fn instant(&self, time: Time) -> Instant {
-        self.origin + Duration::from_micros(time.0.saturating_sub(self.unix.0).min(1 << 50))
-    }
-}
-
 /// The balancer, and what it is still to be told.
 pub struct Queue {
     /// The balancer, for questions.
--- a/agent/src/driver/servers.rs
+++ b/agent/src/driver/servers.rs
@@ -4,12 +4,14 @@
 //! it says of servers that are known holds at once, those that it adds wait for its end, and those that a whole list
 //! does not name are gone then. An answer that breaks off adds nothing and removes nothing.
 
+use super::clock::WallClock;
 use crate::figures::Attempts;
 use crate::list::{Envelope, Health, Host, List, Unread};
 use micasail::{CellId, KindId, Listed, ServerId, Status, Time, ZoneId};
 use micasail_settings::{fnv1a, Names};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
+use std::rc::Rc;
 
 /// How a server is called, and where it stands by the list.
 struct Known {
@@ -53,6 +55,8 @@
     /// How many may be known.
     most: usize,
     taking: Taking,
+    /// Places the start times of the list.
+    wall_clock: Rc<WallClock>,
     /// The version of the list, as the discovery that is called now counts; none before its first list.
     pub seq: Option<u64>,
 }
@@ -66,9 +70,9 @@
 
 impl Servers {
     /// Knows none; at most so many will be known at once.
-    pub fn new(most: usize) -> Self {
+    pub fn new(most: usize, wall_clock: Rc<WallClock>) -> Self {
         let (ids, known, up, zones, left, gone, kept, taking) = Default::default();
-        Servers { ids, known, up, zones, left, gone, kept, most, taking, seq: None }
+        Servers { ids, known, up, zones, left, gone, kept, most, taking, wall_clock, seq: None }
     }
 
     /// Whether there is one to send to.
@@ -92,6 +96,26 @@
         listed.map_or("", |(listed, ..)| self.zone_name(listed.zone))
     }
 
+    /// When a server has started, as the list has it.
+    pub fn born(&self, server: ServerId) -> Option<Time> {
+        let (_, _, born_ms) = self.known.get(&server)?.listed.as_ref()?;
+        unix_time(*born_ms)
+    }
+
+    /// The same in the balancer's time.
+    pub fn started(&self, server: ServerId) -> Option<Time> {
+        let (listed, ..) = self.known.get(&server)?.listed.as_ref()?;
+        listed.started
+    }
+
+    /// When the server of an entry has started. What is known of the same start stays as it is, whatever the wall clock
+    /// has been set to since.
+    fn start_of(&self, server: ServerId, host: &Host) -> Option<Time> {
+        let born = unix_time(host.born_ms)?;
+        let same = self.born(server) == Some(born);
+        self.started(server).filter(|_| same).or_else(|| Some(self.wall_clock.time(born)))
+    }
+
     /// A zone's name, as the list has it.
     pub fn zone_name(&self, zone: ZoneId) -> &str {
         self.zones.get(&zone).map_or("", String::as_str)
@@ -252,7 +276,7 @@
                 Health::Removed => Status::Gone,
             },
             weight: host.share,
-            started: (host.born_ms > 0.0).then(|| Time::from_ms(host.born_ms)),
+            started: self.start_of(server, host),
         };
         let known = self.known.get_mut(&server)?;
         known.named_in = self.taking.number;
@@ -330,9 +354,17 @@
     }
 }
 
+/// A start time of the list; 0 is long ago.
+fn unix_time(born_ms: f64) -> Option<Time> {
+    (born_ms > 0.0).then(|| Time::from_ms(born_ms))
+}
+
 /// A name's place in the settings; one that they lack gets a number of its own past them, so that no two zones
 /// pass for one.
 pub fn place(names: &[String], name: &str) -> u32 {
     let known = names.iter().position(|n| n == name);
     known.unwrap_or_else(|| names.len() + (fnv1a(name) as u32 >> 1) as usize) as u32
 }
+
+#[cfg(test)]
+mod tests;
