--- /dev/null
+++ b/agent/src/peers/file.rs
@@ -0,0 +1,93 @@
+//! The files that the processes of one agent share. A file names the agent and the deployment that it was written for,
+//! and nobody else takes it in.
+
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+use std::fmt;
+use std::fs;
+use std::io;
+use std::path::Path;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// The form of the files; one in another form is not this program's.
+pub const FORM: u32 = 2;
+/// No file of this program is longer.
+const FILE_MOST: u64 = 256 << 10;
+/// So much of an agent's name stands in the names of its files; all of it stands in them.
+const NAME_MOST: usize = 40;
+
+/// Whom a file is written for: one agent of one deployment.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Owner {
+    /// The agent's name.
+    pub agent: String,
+    /// Where its application connects.
+    pub listen: String,
+    /// The zones of the deployment: what renderers stand in, whose names the words are about.
+    pub zones: Vec<String>,
+    /// Its classes, by whose places things are learned.
+    pub classes: Vec<String>,
+}
+
+impl Owner {
+    /// The name of a file, which others do not use.
+    pub fn file(&self, what: &str) -> String {
+        let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '_' };
+        let agent: String = self.agent.chars().map(plain).take(NAME_MOST).collect();
+        let zones = self.zones.join("\0");
+        let whole = micasail_settings::fnv1a(&format!("{}\0{}\0{zones}", self.agent, self.listen));
+        format!("bellcroft-{agent}-{whole:016x}-{what}.json")
+    }
+
+    /// Whether words on renderers mean the same ones.
+    pub fn same_renderers(&self, other: &Owner) -> bool {
+        (&self.agent, &self.listen, &self.zones) == (&other.agent, &other.listen, &other.zones)
+    }
+}
+
+impl fmt::Display for Owner {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Owner { agent, listen, zones, classes } = self;
+        write!(
+            f,
+            "agent {agent:.80} at {listen:.80}, zones {}, classes {}",
+            zones.join(" "),
+            classes.join(" ")
+        )
+    }
+}
+
+/// Replaces a file whole: who reads it finds the old text or the new one.
+pub fn replace(file: &Path, content: &impl Serialize) -> io::Result<()> {
+    let new = file.with_extension(format!("{}.new", std::process::id()));
+    fs::write(&new, serde_json::to_vec(content)?)?;
+    fs::rename(&new, file)
+}
+
+/// Reads a file that must have this form and, by `same`, have been written for this agent; the error is for a person.
+pub fn read<T: DeserializeOwned>(
+    file: &Path,
+    head: impl Fn(&T) -> (u32, &Owner),
+    owner: &Owner,
+    same: impl Fn(&Owner) -> bool,
+) -> Result<T, String> {
+    if fs::metadata(file).map_err(|e| e.to_string())?.len() > FILE_MOST {
+        return Err(format!("it is longer than {FILE_MOST} bytes"));
+    }
+    let text = fs::read(file).map_err(|e| e.to_string())?;
+    let whole: T = serde_json::from_slice(&text).map_err(|e| e.to_string())?;
+    match head(&whole) {
+        (FORM, of) if same(of) => Ok(whole),
+        (FORM, of) => Err(format!("it was written for {of}, not for {owner}")),
+        (form, _) => Err(format!("its form is {form}, not {FORM}")),
+    }
+}
+
+/// What the wall clock reads, in Unix microseconds.
+pub fn unix_now() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+}
+
+#[cfg(test)]
+pub mod tests;
--- a/agent/src/peers/mod.rs
+++ b/agent/src/peers/mod.rs
@@ -1,3 +1,6 @@
 //! Other processes: at first the one that runs beside this one in an upgrade.
 
-pub mod handover;
+pub mod cordons;
+pub mod file;
+pub mod learned;
+pub mod listener;
--- a/agent/src/process.rs
+++ b/agent/src/process.rs
@@ -5,7 +5,9 @@
 use crate::config::Config;
 use crate::driver::Driver;
 use crate::log;
-use crate::peers::handover;
+use crate::peers::cordons;
+use crate::peers::learned;
+use crate::peers::listener;
 use crate::staff::operator;
 use crate::staff::words::Staff;
 use std::path::PathBuf;
@@ -45,7 +47,7 @@
     /// Reads all of it; the error is one line for a person.
     pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
         // Before anything is opened that could take the descriptor's number.
-        let held = handover::listener(&var)?;
+        let held = listener::inherited(&var)?;
         let config = Config::load(&var)?;
         let fleet = fleet_file(&var).map(|file| Fleet::read(&file, &config.names)).transpose()?;
         let log = log::Form::read(&var)?;
@@ -113,10 +115,10 @@
         tokio::task::spawn_local(async move {
             let mut kept = Instant::now();
             loop {
-                sleep(handover::LOOK).await;
+                sleep(cordons::LOOK).await;
                 staff.look();
                 // A process that has handed over leaves the file to the new one.
-                if driver.accepts.get() && kept.elapsed() >= handover::LEARN {
+                if driver.accepts.get() && kept.elapsed() >= learned::LEARN {
                     staff.keep_learned();
                     kept = Instant::now();
                 }
--- a/agent/src/staff/words.rs
+++ b/agent/src/staff/words.rs
@@ -3,7 +3,9 @@
 use crate::driver::Driver;
 use crate::figures::{self, Attempts};
 use crate::forms::{Counters, Renderers, Zone, Zones, RENDERERS_MOST, ZONES_MOST};
-use crate::peers::handover::{self, Cordons, Owner, Word};
+use crate::peers::cordons::{Cordons, Word};
+use crate::peers::file::Owner;
+use crate::peers::learned;
 use micasail::Time;
 use micasail_settings::Names;
 use std::cell::RefCell;
@@ -138,7 +140,7 @@
     /// Begins with what the process beside this one has learned, if it has left that in the folder.
     pub fn learn(&self) {
         let server = |name: &str| self.driver.server(name);
-        let lessons = |folder: &PathBuf| handover::lessons(folder, &self.owner, server);
+        let lessons = |folder: &PathBuf| learned::lessons(folder, &self.owner, server);
         let Some(lessons) = self.folder.as_ref().and_then(lessons) else { return };
         tracing::info!(target: "handover", "begins with what was learned of {} servers", lessons.servers.len());
         self.driver.learn(lessons);
@@ -152,7 +154,7 @@
             return;
         }
         let name = |server| Some(self.driver.name(server)).filter(|name| !name.is_empty());
-        if let Err(why) = handover::keep(folder, &self.owner, lessons, name) {
+        if let Err(why) = learned::keep(folder, &self.owner, lessons, name) {
             tracing::warn!(target: "handover", "what was learned is not kept: {why}");
         }
     }
--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,7 +5,7 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 24] = [
+const LAYERS: [&str; 28] = [
     "list",
     "forms",
     "figures",
@@ -17,7 +17,11 @@
     "traffic/body",
     "renderers/upstream",
     "renderers/discovery",
-    "peers/handover",
+    "peers/file",
+    "peers/cordons",
+    "peers/learned",
+    "peers/listener",
+    "driver/clock",
     "driver/queue",
     "driver/servers",
     "driver/requests",
