--- a/agent/src/peers/cordons.rs
+++ b/agent/src/peers/cordons.rs
@@ -4,14 +4,12 @@
 //! They share a small file in `$TMPDIR` with the last word on each renderer and its time; the later word wins, whoever
 //! wrote it.
 
-use super::file::{self, Owner, FORM};
+use super::file::{self, Now, Owner, FORM};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use std::fs::{self, Metadata};
 use std::io;
-use std::os::unix::fs::MetadataExt;
 use std::path::PathBuf;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 /// How often a process looks for what the other one has been told.
 pub const LOOK: Duration = Duration::from_millis(50);
@@ -37,27 +35,35 @@
     words: BTreeMap<String, Word>,
 }
 
-/// What tells one replacement of the file from the next.
-type Stamp = (u64, i64, i64, u64);
+/// A word, and since when this process may count it as said, by its own monotonic clock.
+#[derive(Clone, Copy)]
+struct Heard {
+    word: Word,
+    since: Instant,
+}
 
 /// The operators' words on all renderers, and the file that they share with a process beside this one.
 pub struct Cordons {
     file: Option<PathBuf>,
     owner: Owner,
-    words: BTreeMap<String, Word>,
-    seen: Option<Stamp>,
+    words: BTreeMap<String, Heard>,
+    /// The file as it was when it was last looked at. Times and numbers of files may come again, also by a step of the
+    /// wall clock.
+    seen: Option<Vec<u8>>,
+    /// It cannot be read, and that has been said.
+    unreadable: bool,
 }
 
 impl Cordons {
     /// Knows none; reads and writes them in this folder, if there is one.
     pub fn new(folder: Option<PathBuf>, owner: Owner) -> Self {
         let file = folder.map(|folder| folder.join(owner.file(CORDONS)));
-        Cordons { file, owner, words: BTreeMap::new(), seen: None }
+        Cordons { file, owner, words: BTreeMap::new(), seen: None, unreadable: false }
     }
 
     /// Whether a renderer is out of use by the last word on it.
     pub fn out(&self, name: &str) -> bool {
-        self.words.get(name).is_some_and(|word| word.out)
+        self.words.get(name).is_some_and(|heard| heard.word.out)
     }
 
     /// Whether there has been any word on a renderer.
@@ -66,53 +72,74 @@
     }
 
     /// Keeps a word; an error leaves it said in this process alone.
-    pub fn say(&mut self, name: &str, out: bool) -> io::Result<()> {
-        let before = self.words.get(name).map_or(0, |word| word.at);
-        let at = file::unix_now().max(before + 1);
-        self.words.insert(name.to_owned(), Word { out, at });
-        self.write()
+    pub fn say(&mut self, name: &str, out: bool, now: Now) -> io::Result<()> {
+        // A later word has the later time, also after a step back of the wall clock.
+        let before = self.words.get(name).map_or(0, |heard| heard.word.at);
+        let at = now.wall.max(before + 1);
+        self.words.insert(name.to_owned(), Heard { word: Word { out, at }, since: now.monotonic });
+        self.write(now)
     }
 
     /// The words that another process has written since the last look.
-    pub fn look(&mut self) -> Vec<(String, Word)> {
-        let Some(file) = &self.file else { return Vec::new() };
-        // Without a file nobody has said anything.
-        let Ok(stamp) = fs::metadata(file).map(|metadata| stamp(&metadata)) else { return Vec::new() };
-        if self.seen == Some(stamp) {
-            return Vec::new();
-        }
-        self.seen = Some(stamp);
-        let same = |theirs: &Owner| self.owner.same_renderers(theirs);
-        let theirs = match file::read::<File>(file, |file| (file.form, &file.of), &self.owner, same) {
-            Ok(File { words, .. }) => words,
-            Err(why) => {
-                tracing::warn!(target: "handover", "{} is not taken: {why}", file.display());
-                return Vec::new();
-            }
-        };
-        let lost = self.words.iter().any(|(name, own)| theirs.get(name).is_none_or(|word| word.at < own.at));
-        let later = |(name, word): &(String, Word)| self.words.get(name).is_none_or(|own| own.at < word.at);
+    pub fn look(&mut self, now: Now) -> Vec<(String, Word)> {
+        let Some(theirs) = self.changed() else { return Vec::new() };
+        let earlier = |own: &Heard, word: &Word| own.word.at < word.at;
+        let has = |name: &String, own: &Heard| theirs.get(name).is_some_and(|word| word.at >= own.word.at);
+        let lost = self.words.iter().any(|(name, own)| !has(name, own));
+        let later = |(name, word): &(String, Word)| self.words.get(name).is_none_or(|own| earlier(own, word));
         let news: Vec<_> = theirs.into_iter().filter(later).collect();
-        self.words.extend(news.iter().cloned());
+        for (name, word) in &news {
+            let since = now.monotonic.checked_sub(age(*word, now)).unwrap_or(now.monotonic);
+            self.words.insert(name.clone(), Heard { word: *word, since });
+        }
         if lost {
             // Both replaced it at once, and this process's word is gone from it.
-            if let Err(why) = self.write() {
+            if let Err(why) = self.write(now) {
                 tracing::warn!(target: "handover", "{why}");
             }
         }
         news
     }
 
-    fn write(&mut self) -> io::Result<()> {
+    /// The words in the file, if it has been replaced since the last look by one that makes sense.
+    fn changed(&mut self) -> Option<BTreeMap<String, Word>> {
+        let file = self.file.as_ref()?;
+        let text = match file::text(file) {
+            // Without a file nobody has said anything.
+            Ok(text) => text?,
+            Err(why) => {
+                if !std::mem::replace(&mut self.unreadable, true) {
+                    tracing::warn!(target: "handover", "{} cannot be read: {why}", file.display());
+                }
+                return None;
+            }
+        };
+        self.unreadable = false;
+        if self.seen.as_ref() == Some(&text) {
+            return None;
+        }
+        let same = |theirs: &Owner| self.owner.same_renderers(theirs);
+        let whole = file::parse::<File>(&text, |file| (file.form, &file.of), &self.owner, same);
+        self.seen = Some(text);
+        whole
+            .map(|File { words, .. }| words)
+            .inspect_err(|why| tracing::warn!(target: "handover", "{} is not taken: {why}", file.display()))
+            .ok()
+    }
+
+    fn write(&mut self, now: Now) -> io::Result<()> {
         let Some(file) = &self.file else { return Ok(()) };
-        let forget = file::unix_now().saturating_sub(FORGET.as_micros() as u64);
-        self.words.retain(|_, word| word.out || word.at > forget);
-        file::replace(file, &File { form: FORM, of: self.owner.clone(), words: self.words.clone() })
+        let recent = |heard: &Heard| now.monotonic.saturating_duration_since(heard.since) < FORGET;
+        self.words.retain(|_, heard| heard.word.out || recent(heard));
+        let words = self.words.iter().map(|(name, heard)| (name.clone(), heard.word)).collect();
+        file::replace(file, &File { form: FORM, of: self.owner.clone(), words })
     }
 }
 
-fn stamp(metadata: &Metadata) -> Stamp {
-    (metadata.ino(), metadata.mtime(), metadata.mtime_nsec(), metadata.len())
+/// How long ago a word was said, by the wall clock: all that one process can know of another one's word. No more than
+/// [`FORGET`], whatever that clock has been set to since.
+fn age(word: Word, now: Now) -> Duration {
+    Duration::from_micros(now.wall.saturating_sub(word.at)).min(FORGET)
 }
 
 #[cfg(test)]
--- a/agent/src/peers/cordons/tests.rs
+++ b/agent/src/peers/cordons/tests.rs
@@ -9,15 +9,15 @@
 fn a_word_said_at_either_process_holds_in_both() {
     let folder = Folder::new("both");
     let (mut old, mut new) = (new_process(&folder), new_process(&folder));
-    old.say("a", true).expect("written");
-    let news = new.look();
+    old.say("a", true, Now::read()).expect("written");
+    let news = new.look(Now::read());
     assert_eq!(news.iter().map(|(name, word)| (name.as_str(), word.out)).collect::<Vec<_>>(), [("a", true)]);
-    assert_eq!(new.look(), []);
-    new.say("a", false).expect("written");
-    new.say("b", true).expect("written");
-    old.look();
+    assert_eq!(new.look(Now::read()), []);
+    new.say("a", false, Now::read()).expect("written");
+    new.say("b", true, Now::read()).expect("written");
+    old.look(Now::read());
     assert!(!old.out("a") && old.out("b"));
-    assert_eq!(fs::read_dir(&folder.0).expect("a folder").count(), 1, "nothing else is left");
+    assert_eq!(std::fs::read_dir(&folder.0).expect("a folder").count(), 1, "nothing else is left");
 }
 
 /// Both replace the file before either has looked: the first one's word must not be lost.
@@ -25,12 +25,12 @@
 fn replacements_that_cross_lose_no_word() {
     let folder = Folder::new("cross");
     let (mut old, mut new) = (new_process(&folder), new_process(&folder));
-    old.say("a", true).expect("written");
-    new.say("b", true).expect("written");
-    old.look();
-    new.look();
+    old.say("a", true, Now::read()).expect("written");
+    new.say("b", true, Now::read()).expect("written");
+    old.look(Now::read());
+    new.look(Now::read());
     let mut third = new_process(&folder);
-    third.look();
+    third.look(Now::read());
     assert!(old.out("b") && new.out("a") && third.out("a") && third.out("b"));
 }
 
@@ -50,15 +50,85 @@
         &whole.replace("127.0.0.1:1", "127.0.0.1:2").into_bytes(),
     ];
     for text in foreign {
-        fs::write(&file, text).expect("written");
-        assert_eq!(process.look(), [], "{text:?}");
+        std::fs::write(&file, text).expect("written");
+        assert_eq!(process.look(Now::read()), [], "{text:?}");
     }
-    process.say("b", true).expect("written");
+    process.say("b", true, Now::read()).expect("written");
     let mut next = new_process(&folder);
-    next.look();
+    next.look(Now::read());
     assert!(next.out("b"));
-    fs::write(&file, whole).expect("written");
-    next.look();
+    std::fs::write(&file, whole).expect("written");
+    next.look(Now::read());
     assert!(next.out("a"));
-    assert!(Cordons::new(Some(folder.0.join("nowhere")), owner()).say("a", true).is_err());
+    assert!(Cordons::new(Some(folder.0.join("nowhere")), owner()).say("a", true, Now::read()).is_err());
+}
+
+const HOUR: u64 = 3_600_000_000;
+
+/// So long after `start`, with the wall clock ahead of its true time by `step` microseconds.
+fn later(start: Now, after: Duration, step: i64) -> Now {
+    let wall = (start.wall + after.as_micros() as u64).saturating_add_signed(step);
+    Now { monotonic: start.monotonic + after, wall }
+}
+
+/// A process that has not looked since must find the renderer's return in the file, or it would put its cordon back.
+#[test]
+fn a_return_is_not_forgotten_because_the_wall_clock_was_stepped_ahead() {
+    let folder = Folder::new("ahead");
+    let (mut here, mut beside) = (new_process(&folder), new_process(&folder));
+    let start = Now::read();
+    here.say("a", true, start).expect("written");
+    beside.look(start);
+    here.say("a", false, start).expect("written");
+    let stepped = later(start, Duration::from_secs(1), HOUR as i64);
+    here.say("b", true, stepped).expect("written");
+    beside.look(stepped);
+    assert!(!beside.out("a") && beside.out("b"));
+    here.look(stepped);
+    assert!(!here.out("a"), "the cordon came back");
+}
+
+#[test]
+fn a_return_is_forgotten_after_its_time_whatever_the_wall_clock_reads() {
+    let folder = Folder::new("forgotten");
+    let mut here = new_process(&folder);
+    let start = Now::read();
+    here.say("a", true, start).expect("written");
+    here.say("a", false, start).expect("written");
+    for (after, known) in [(FORGET / 2, true), (FORGET, false)] {
+        here.say("b", true, later(start, after, -(HOUR as i64))).expect("written");
+        let mut next = new_process(&folder);
+        next.look(later(start, after, -(HOUR as i64)));
+        assert_eq!((here.knows("a"), next.knows("a")), (known, known), "after {after:?}");
+    }
+}
+
+#[test]
+fn the_later_word_wins_also_after_a_step_back() {
+    let folder = Folder::new("back");
+    let (mut here, mut beside) = (new_process(&folder), new_process(&folder));
+    let start = Now::read();
+    here.say("a", true, start).expect("written");
+    let stepped = later(start, Duration::from_secs(1), -(HOUR as i64));
+    beside.look(stepped);
+    beside.say("a", false, stepped).expect("written");
+    here.look(stepped);
+    assert!(!here.out("a") && !beside.out("a"));
+}
+
+/// The number of a file that was replaced is used again, its length is the same, and after a step back its time may be.
+#[test]
+fn a_replacement_is_seen_though_number_length_and_time_are_the_same() {
+    let folder = Folder::new("same");
+    let (mut here, mut beside) = (new_process(&folder), new_process(&folder));
+    let file = folder.0.join(owner().file(CORDONS));
+    here.say("a", true, Now::read()).expect("written");
+    let (text, time) = (std::fs::read_to_string(&file), std::fs::metadata(&file).and_then(|m| m.modified()));
+    beside.look(Now::read());
+    let other = text.expect("text").replace("\"a\":{", "\"c\":{");
+    std::fs::write(&file, other).expect("written");
+    let replaced = std::fs::File::options().append(true).open(&file).expect("the file");
+    replaced.set_modified(time.expect("a time")).expect("set");
+    beside.look(Now::read());
+    assert!(beside.out("c"));
 }
--- a/agent/src/peers/file.rs
+++ b/agent/src/peers/file.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::fs;
-use std::io;
+use std::io::{self, Read};
 use std::path::Path;
-use std::time::{SystemTime, UNIX_EPOCH};
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// The form of the files; one in another form is not this program's.
 pub const FORM: u32 = 2;
@@ -65,18 +65,29 @@
     fs::rename(&new, file)
 }
 
-/// Reads a file that must have this form and, by `same`, have been written for this agent; the error is for a person.
-pub fn read<T: DeserializeOwned>(
-    file: &Path,
+/// The text of a file, as far as this program would have written it; none if there is no file.
+pub fn text(file: &Path) -> io::Result<Option<Vec<u8>>> {
+    let file = match fs::File::open(file) {
+        Ok(file) => file,
+        Err(why) if why.kind() == io::ErrorKind::NotFound => return Ok(None),
+        Err(why) => return Err(why),
+    };
+    let mut text = Vec::new();
+    file.take(FILE_MOST + 1).read_to_end(&mut text)?;
+    Ok(Some(text))
+}
+
+/// Reads a text that must have this form and, by `same`, have been written for this agent; the error is for a person.
+pub fn parse<T: DeserializeOwned>(
+    text: &[u8],
     head: impl Fn(&T) -> (u32, &Owner),
     owner: &Owner,
     same: impl Fn(&Owner) -> bool,
 ) -> Result<T, String> {
-    if fs::metadata(file).map_err(|e| e.to_string())?.len() > FILE_MOST {
+    if text.len() as u64 > FILE_MOST {
         return Err(format!("it is longer than {FILE_MOST} bytes"));
     }
-    let text = fs::read(file).map_err(|e| e.to_string())?;
-    let whole: T = serde_json::from_slice(&text).map_err(|e| e.to_string())?;
+    let whole: T = serde_json::from_slice(text).map_err(|e| e.to_string())?;
     match head(&whole) {
         (FORM, of) if same(of) => Ok(whole),
         (FORM, of) => Err(format!("it was written for {of}, not for {owner}")),
@@ -84,9 +95,22 @@
     }
 }
 
-/// What the wall clock reads, in Unix microseconds.
-pub fn unix_now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+/// Both clocks at one moment. Processes share the wall clock alone, which may be stepped; spans within a process go by
+/// the monotonic one.
+#[derive(Debug, Clone, Copy)]
+pub struct Now {
+    /// The monotonic clock.
+    pub monotonic: Instant,
+    /// The wall clock, in Unix microseconds.
+    pub wall: u64,
+}
+
+impl Now {
+    /// Reads both.
+    pub fn read() -> Self {
+        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
+        Now { monotonic: Instant::now(), wall }
+    }
 }
 
 #[cfg(test)]
--- a/agent/src/process.rs
+++ b/agent/src/process.rs
@@ -117,6 +117,7 @@
             loop {
                 sleep(cordons::LOOK).await;
                 staff.look();
+                staff.learn();
                 // A process that has handed over leaves the file to the new one.
                 if driver.accepts.get() && kept.elapsed() >= learned::LEARN {
                     staff.keep_learned();
--- a/agent/src/staff/words.rs
+++ b/agent/src/staff/words.rs
@@ -4,8 +4,8 @@
 use crate::figures::{self, Attempts};
 use crate::forms::{Counters, Renderers, Zone, Zones, RENDERERS_MOST, ZONES_MOST};
 use crate::peers::cordons::{Cordons, Word};
-use crate::peers::file::Owner;
-use crate::peers::learned;
+use crate::peers::file::{Now, Owner};
+use crate::peers::learned::{self, Inheritance};
 use micasail::Time;
 use micasail_settings::Names;
 use std::cell::RefCell;
@@ -23,6 +23,8 @@
     cordons: RefCell<Cordons>,
     /// Where the processes of this agent leave each other what they know.
     folder: Option<PathBuf>,
+    /// What this process may begin with, of what the one beside it has learned.
+    inheritance: RefCell<Option<Inheritance>>,
     /// Who they are, so that nobody else's is taken in.
     owner: Owner,
 }
@@ -33,7 +35,9 @@
         let Names { zones, classes, .. } = driver.names.clone();
         let owner = Owner { agent, listen, zones, classes };
         let cordons = RefCell::new(Cordons::new(folder.clone(), owner.clone()));
-        let staff = Staff { driver, cordons, folder, owner };
+        let inherits = |folder: &PathBuf| Inheritance::new(folder, owner.clone(), Now::read());
+        let inheritance = RefCell::new(folder.as_ref().map(inherits));
+        let staff = Staff { driver, cordons, inheritance, folder, owner };
         staff.look();
         Rc::new(staff)
     }
@@ -100,8 +104,8 @@
             return Ok(false);
         }
         if cordons.out(name) != out {
-            self.pass_on(name, Word { out, at: self.driver.clock.now().0 });
-            cordons.say(name, out)?;
+            self.pass_on(name, out, self.driver.clock.now());
+            cordons.say(name, out, Now::read())?;
         }
         Ok(true)
     }
@@ -115,33 +119,36 @@
             return Ok(false);
         }
         if cordons.out(&key) != out {
-            self.pass_on(&key, Word { out, at: self.driver.clock.now().0 });
-            cordons.say(&key, out)?;
+            self.pass_on(&key, out, self.driver.clock.now());
+            cordons.say(&key, out, Now::read())?;
         }
         Ok(true)
     }
 
     /// Takes in what the operators have said to another process of this agent.
     pub fn look(&self) {
-        for (name, word) in self.cordons.borrow_mut().look() {
-            self.pass_on(&name, word);
+        for (name, Word { out, at }) in self.cordons.borrow_mut().look(Now::read()) {
+            self.pass_on(&name, out, self.driver.time_of_wall_clock(Time(at)));
         }
     }
 
-    fn pass_on(&self, name: &str, word: Word) {
+    fn pass_on(&self, name: &str, out: bool, at: Time) {
         if let Some(zone) = name.strip_prefix(ZONE) {
-            tracing::info!(target: "staff", zone, "the zone is {}", if word.out { "left" } else { "returned to" });
-            return self.driver.zone(zone, word.out, Time(word.at));
+            tracing::info!(target: "staff", zone, "the zone is {}", if out { "left" } else { "returned to" });
+            return self.driver.zone(zone, out, at);
         }
-        tracing::info!(target: "staff", "{name:.80} is {}", if word.out { "cordoned" } else { "back" });
-        self.driver.cordon(name, word.out, Time(word.at));
+        tracing::info!(target: "staff", "{name:.80} is {}", if out { "cordoned" } else { "back" });
+        self.driver.cordon(name, out, at);
     }
 
-    /// Begins with what the process beside this one has learned, if it has left that in the folder.
+    /// Begins with what the process beside this one has learned, once that is known to be fresh. To be called until the
+    /// process has something of its own to leave.
     pub fn learn(&self) {
         let server = |name: &str| self.driver.server(name);
-        let lessons = |folder: &PathBuf| learned::lessons(folder, &self.owner, server);
-        let Some(lessons) = self.folder.as_ref().and_then(lessons) else { return };
+        let mut inheritance = self.inheritance.borrow_mut();
+        let Some(lessons) = inheritance.as_mut().and_then(|from| from.look(Now::read(), server)) else {
+            return;
+        };
         tracing::info!(target: "handover", "begins with what was learned of {} servers", lessons.servers.len());
         self.driver.learn(lessons);
     }
@@ -149,12 +156,16 @@
     /// Leaves what has been learned there, once there is something.
     pub fn keep_learned(&self) {
         let Some(folder) = &self.folder else { return };
+        // What this process writes would pass for a sign of life of the one beside it.
+        if self.inheritance.borrow().as_ref().is_some_and(Inheritance::awaited) {
+            return;
+        }
         let lessons = self.driver.lessons();
         if lessons.servers.iter().all(|lesson| lesson.samples == 0) {
             return;
         }
         let name = |server| Some(self.driver.name(server)).filter(|name| !name.is_empty());
-        if let Err(why) = learned::keep(folder, &self.owner, lessons, name) {
+        if let Err(why) = learned::keep(folder, &self.owner, lessons, Now::read(), name) {
             tracing::warn!(target: "handover", "what was learned is not kept: {why}");
         }
     }
