--- a/agent/src/forms.rs
+++ b/agent/src/forms.rs
@@ -29,6 +29,9 @@
     pub renderers: Vec<Renderer>,
     /// Those past that bound.
     pub left_out: u64,
+    /// Words of the operators that are not on disk yet: they hold in this process, and would not outlive it.
+    #[serde(default)]
+    pub unsaved: u64,
 }
 
 /// At most so many renderers are told of in one answer.
@@ -72,6 +75,9 @@
     pub zones: Vec<Zone>,
     /// Those past that bound.
     pub left_out: u64,
+    /// Words of the operators that are not on disk yet: they hold in this process, and would not outlive it.
+    #[serde(default)]
+    pub unsaved: u64,
 }
 
 /// How an agent uses a zone by its own evidence: as a whole, and for the classes for which it differs.
--- a/agent/src/peers/cordons.rs
+++ b/agent/src/peers/cordons.rs
@@ -7,7 +7,6 @@
 use super::file::{self, Now, Owner, FORM};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use std::io;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
@@ -35,11 +34,24 @@
     words: BTreeMap<String, Word>,
 }
 
-/// A word, and since when this process may count it as said, by its own monotonic clock.
+/// A word as this process has it.
 #[derive(Clone, Copy)]
 struct Heard {
     word: Word,
+    /// Since when it may count as said, by this process's own monotonic clock.
     since: Instant,
+    /// The revision that it came with, if it was said to this process.
+    revision: u64,
+}
+
+/// The file as it should be.
+pub struct Draft {
+    /// The revision of the words in it.
+    pub revision: u64,
+    /// Where it belongs.
+    pub file: PathBuf,
+    /// What it says.
+    pub text: Vec<u8>,
 }
 
 /// The operators' words on all renderers, and the file that they share with a process beside this one.
@@ -52,13 +64,18 @@
     seen: Option<Vec<u8>>,
     /// It cannot be read, and that has been said.
     unreadable: bool,
+    /// Counts what makes the file on disk out of date.
+    revision: u64,
+    /// The revision that is on disk.
+    saved: u64,
 }
 
 impl Cordons {
     /// Knows none; reads and writes them in this folder, if there is one.
     pub fn new(folder: Option<PathBuf>, owner: Owner) -> Self {
         let file = folder.map(|folder| folder.join(owner.file(CORDONS)));
-        Cordons { file, owner, words: BTreeMap::new(), seen: None, unreadable: false }
+        let (words, seen, unreadable, revision, saved) = Default::default();
+        Cordons { file, owner, words, seen, unreadable, revision, saved }
     }
 
     /// Whether a renderer is out of use by the last word on it.
@@ -71,13 +88,54 @@
         self.words.contains_key(name)
     }
 
-    /// Keeps a word; an error leaves it said in this process alone.
-    pub fn say(&mut self, name: &str, out: bool, now: Now) -> io::Result<()> {
+    /// Keeps a word, which is said in this process alone until it is [`Cordons::saved`].
+    pub fn say(&mut self, name: &str, out: bool, now: Now) {
         // A later word has the later time, also after a step back of the wall clock.
         let before = self.words.get(name).map_or(0, |heard| heard.word.at);
         let at = now.wall.max(before + 1);
-        self.words.insert(name.to_owned(), Heard { word: Word { out, at }, since: now.monotonic });
-        self.write(now)
+        let heard = Heard { word: Word { out, at }, since: now.monotonic, revision: self.next() };
+        self.words.insert(name.to_owned(), heard);
+    }
+
+    /// The revision of what is known now.
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    fn next(&mut self) -> u64 {
+        self.revision += 1;
+        if self.file.is_none() {
+            // There is nobody to tell.
+            self.saved = self.revision;
+        }
+        self.revision
+    }
+
+    /// Whether all of it is on disk.
+    pub fn is_saved(&self) -> bool {
+        self.saved == self.revision
+    }
+
+    /// The words that were said to this process and are not on disk.
+    pub fn unsaved(&self) -> usize {
+        self.words.values().filter(|heard| heard.revision > self.saved).count()
+    }
+
+    /// The file as it should be, if it is not so on disk.
+    pub fn draft(&mut self, now: Now) -> Option<Draft> {
+        let file = self.file.clone().filter(|_| !self.is_saved())?;
+        let recent = |heard: &Heard| now.monotonic.saturating_duration_since(heard.since) < FORGET;
+        self.words.retain(|_, heard| heard.word.out || recent(heard));
+        let words = self.words.iter().map(|(name, heard)| (name.clone(), heard.word)).collect();
+        let whole = File { form: FORM, of: self.owner.clone(), words };
+        // Text for keys and nothing that could fail to be written.
+        let text = serde_json::to_vec(&whole).unwrap_or_default();
+        Some(Draft { revision: self.revision, file, text })
+    }
+
+    /// A revision is on disk.
+    pub fn saved(&mut self, revision: u64) {
+        self.saved = self.saved.max(revision);
     }
 
     /// The words that another process has written since the last look.
@@ -90,13 +148,11 @@
         let news: Vec<_> = theirs.into_iter().filter(later).collect();
         for (name, word) in &news {
             let since = now.monotonic.checked_sub(age(*word, now)).unwrap_or(now.monotonic);
-            self.words.insert(name.clone(), Heard { word: *word, since });
+            self.words.insert(name.clone(), Heard { word: *word, since, revision: 0 });
         }
         if lost {
             // Both replaced it at once, and this process's word is gone from it.
-            if let Err(why) = self.write(now) {
-                tracing::warn!(target: "handover", "{why}");
-            }
+            self.next();
         }
         news
     }
@@ -126,14 +182,6 @@
             .inspect_err(|why| tracing::warn!(target: "handover", "{} is not taken: {why}", file.display()))
             .ok()
     }
-
-    fn write(&mut self, now: Now) -> io::Result<()> {
-        let Some(file) = &self.file else { return Ok(()) };
-        let recent = |heard: &Heard| now.monotonic.saturating_duration_since(heard.since) < FORGET;
-        self.words.retain(|_, heard| heard.word.out || recent(heard));
-        let words = self.words.iter().map(|(name, heard)| (name.clone(), heard.word)).collect();
-        file::replace(file, &File { form: FORM, of: self.owner.clone(), words })
-    }
 }
 
 /// How long ago a word was said, by the wall clock: all that one process can know of another one's word. No more than
--- a/agent/src/peers/cordons/tests.rs
+++ b/agent/src/peers/cordons/tests.rs
@@ -1,6 +1,27 @@
 use super::super::file::tests::{owner, Folder};
+use super::super::writer::{self, Outlives};
 use super::*;
 
+/// Writes what there is to write, as the process does.
+fn write(process: &mut Cordons, now: Now) -> std::io::Result<()> {
+    while let Some(Draft { revision, file, text }) = process.draft(now) {
+        writer::replace(&file, &text, Outlives::Power)?;
+        process.saved(revision);
+    }
+    Ok(())
+}
+
+fn say(process: &mut Cordons, name: &str, out: bool, now: Now) -> std::io::Result<()> {
+    process.say(name, out, now);
+    write(process, now)
+}
+
+fn look(process: &mut Cordons, now: Now) -> Vec<(String, Word)> {
+    let news = process.look(now);
+    write(process, now).expect("written");
+    news
+}
+
 fn new_process(folder: &Folder) -> Cordons {
     Cordons::new(Some(folder.0.clone()), owner())
 }
@@ -9,13 +30,13 @@
 fn a_word_said_at_either_process_holds_in_both() {
     let folder = Folder::new("both");
     let (mut old, mut new) = (new_process(&folder), new_process(&folder));
-    old.say("a", true, Now::read()).expect("written");
-    let news = new.look(Now::read());
+    say(&mut old, "a", true, Now::read()).expect("written");
+    let news = look(&mut new, Now::read());
     assert_eq!(news.iter().map(|(name, word)| (name.as_str(), word.out)).collect::<Vec<_>>(), [("a", true)]);
-    assert_eq!(new.look(Now::read()), []);
-    new.say("a", false, Now::read()).expect("written");
-    new.say("b", true, Now::read()).expect("written");
-    old.look(Now::read());
+    assert_eq!(look(&mut new, Now::read()), []);
+    say(&mut new, "a", false, Now::read()).expect("written");
+    say(&mut new, "b", true, Now::read()).expect("written");
+    look(&mut old, Now::read());
     assert!(!old.out("a") && old.out("b"));
     assert_eq!(std::fs::read_dir(&folder.0).expect("a folder").count(), 1, "nothing else is left");
 }
@@ -25,12 +46,12 @@
 fn replacements_that_cross_lose_no_word() {
     let folder = Folder::new("cross");
     let (mut old, mut new) = (new_process(&folder), new_process(&folder));
-    old.say("a", true, Now::read()).expect("written");
-    new.say("b", true, Now::read()).expect("written");
-    old.look(Now::read());
-    new.look(Now::read());
+    say(&mut old, "a", true, Now::read()).expect("written");
+    say(&mut new, "b", true, Now::read()).expect("written");
+    look(&mut old, Now::read());
+    look(&mut new, Now::read());
     let mut third = new_process(&folder);
-    third.look(Now::read());
+    look(&mut third, Now::read());
     assert!(old.out("b") && new.out("a") && third.out("a") && third.out("b"));
 }
 
@@ -51,16 +72,18 @@
     ];
     for text in foreign {
         std::fs::write(&file, text).expect("written");
-        assert_eq!(process.look(Now::read()), [], "{text:?}");
+        assert_eq!(look(&mut process, Now::read()), [], "{text:?}");
     }
-    process.say("b", true, Now::read()).expect("written");
+    say(&mut process, "b", true, Now::read()).expect("written");
     let mut next = new_process(&folder);
-    next.look(Now::read());
+    look(&mut next, Now::read());
     assert!(next.out("b"));
     std::fs::write(&file, whole).expect("written");
-    next.look(Now::read());
+    look(&mut next, Now::read());
     assert!(next.out("a"));
-    assert!(Cordons::new(Some(folder.0.join("nowhere")), owner()).say("a", true, Now::read()).is_err());
+    let mut nowhere = Cordons::new(Some(folder.0.join("nowhere")), owner());
+    assert!(say(&mut nowhere, "a", true, Now::read()).is_err());
+    assert_eq!((nowhere.out("a"), nowhere.unsaved(), nowhere.is_saved()), (true, 1, false));
 }
 
 const HOUR: u64 = 3_600_000_000;
@@ -77,14 +100,14 @@
     let folder = Folder::new("ahead");
     let (mut here, mut beside) = (new_process(&folder), new_process(&folder));
     let start = Now::read();
-    here.say("a", true, start).expect("written");
-    beside.look(start);
-    here.say("a", false, start).expect("written");
+    say(&mut here, "a", true, start).expect("written");
+    look(&mut beside, start);
+    say(&mut here, "a", false, start).expect("written");
     let stepped = later(start, Duration::from_secs(1), HOUR as i64);
-    here.say("b", true, stepped).expect("written");
-    beside.look(stepped);
+    say(&mut here, "b", true, stepped).expect("written");
+    look(&mut beside, stepped);
     assert!(!beside.out("a") && beside.out("b"));
-    here.look(stepped);
+    look(&mut here, stepped);
     assert!(!here.out("a"), "the cordon came back");
 }
 
@@ -93,12 +116,12 @@
     let folder = Folder::new("forgotten");
     let mut here = new_process(&folder);
     let start = Now::read();
-    here.say("a", true, start).expect("written");
-    here.say("a", false, start).expect("written");
+    say(&mut here, "a", true, start).expect("written");
+    say(&mut here, "a", false, start).expect("written");
     for (after, known) in [(FORGET / 2, true), (FORGET, false)] {
-        here.say("b", true, later(start, after, -(HOUR as i64))).expect("written");
+        say(&mut here, "b", true, later(start, after, -(HOUR as i64))).expect("written");
         let mut next = new_process(&folder);
-        next.look(later(start, after, -(HOUR as i64)));
+        look(&mut next, later(start, after, -(HOUR as i64)));
         assert_eq!((here.knows("a"), next.knows("a")), (known, known), "after {after:?}");
     }
 }
@@ -108,11 +131,11 @@
     let folder = Folder::new("back");
     let (mut here, mut beside) = (new_process(&folder), new_process(&folder));
     let start = Now::read();
-    here.say("a", true, start).expect("written");
+    say(&mut here, "a", true, start).expect("written");
     let stepped = later(start, Duration::from_secs(1), -(HOUR as i64));
-    beside.look(stepped);
-    beside.say("a", false, stepped).expect("written");
-    here.look(stepped);
+    look(&mut beside, stepped);
+    say(&mut beside, "a", false, stepped).expect("written");
+    look(&mut here, stepped);
     assert!(!here.out("a") && !beside.out("a"));
 }
 
@@ -122,13 +145,13 @@
     let folder = Folder::new("same");
     let (mut here, mut beside) = (new_process(&folder), new_process(&folder));
     let file = folder.0.join(owner().file(CORDONS));
-    here.say("a", true, Now::read()).expect("written");
+    say(&mut here, "a", true, Now::read()).expect("written");
     let (text, time) = (std::fs::read_to_string(&file), std::fs::metadata(&file).and_then(|m| m.modified()));
-    beside.look(Now::read());
+    look(&mut beside, Now::read());
     let other = text.expect("text").replace("\"a\":{", "\"c\":{");
     std::fs::write(&file, other).expect("written");
     let replaced = std::fs::File::options().append(true).open(&file).expect("the file");
     replaced.set_modified(time.expect("a time")).expect("set");
-    beside.look(Now::read());
+    look(&mut beside, Now::read());
     assert!(beside.out("c"));
 }
--- a/agent/src/peers/file.rs
+++ b/agent/src/peers/file.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::fs;
 use std::io::{self, Read};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// The form of the files; one in another form is not this program's.
@@ -15,6 +15,8 @@
 const FILE_MOST: u64 = 256 << 10;
 /// So much of an agent's name stands in the names of its files; all of it stands in them.
 const NAME_MOST: usize = 40;
+/// The extension of files that are still being written.
+const TEMPORARY: &str = "new";
 
 /// Whom a file is written for: one agent of one deployment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -33,11 +35,16 @@
 impl Owner {
     /// The name of a file, which others do not use.
     pub fn file(&self, what: &str) -> String {
+        format!("{}-{what}.json", self.stem())
+    }
+
+    /// What the names of this agent's files begin with.
+    fn stem(&self) -> String {
         let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '_' };
         let agent: String = self.agent.chars().map(plain).take(NAME_MOST).collect();
         let zones = self.zones.join("\0");
         let whole = micasail_settings::fnv1a(&format!("{}\0{}\0{zones}", self.agent, self.listen));
-        format!("bellcroft-{agent}-{whole:016x}-{what}.json")
+        format!("bellcroft-{agent}-{whole:016x}")
     }
 
     /// Whether words on renderers mean the same ones.
@@ -58,11 +65,33 @@
     }
 }
 
-/// Replaces a file whole: who reads it finds the old text or the new one.
-pub fn replace(file: &Path, content: &impl Serialize) -> io::Result<()> {
-    let new = file.with_extension(format!("{}.new", std::process::id()));
-    fs::write(&new, serde_json::to_vec(content)?)?;
-    fs::rename(&new, file)
+/// Where a new version of a file is written, before it takes its place.
+pub fn temporary(file: &Path) -> PathBuf {
+    file.with_extension(format!("{}.{TEMPORARY}", std::process::id()))
+}
+
+/// Removes what processes that have ended left of files that never took their place. What cannot be removed stays.
+pub fn remove_abandoned(folder: &Path, owner: &Owner) {
+    let Ok(entries) = fs::read_dir(folder) else { return };
+    let stem = owner.stem();
+    for entry in entries.flatten() {
+        let name = entry.file_name();
+        if name.to_str().and_then(|name| writer_of(name, &stem)).is_some_and(has_ended) {
+            let _ = fs::remove_file(entry.path());
+        }
+    }
+}
+
+/// The process that a temporary file of this stem was written by.
+fn writer_of(name: &str, stem: &str) -> Option<u32> {
+    let (_, process) =
+        name.strip_prefix(stem)?.strip_suffix(TEMPORARY)?.strip_suffix('.')?.split_once('.')?;
+    process.parse().ok()
+}
+
+/// Whether a process has ended. This one has written nothing yet: what has its number is an earlier one's.
+fn has_ended(process: u32) -> bool {
+    process == std::process::id() || !Path::new("/proc").join(process.to_string()).exists()
 }
 
 /// The text of a file, as far as this program would have written it; none if there is no file.
--- a/agent/src/peers/file/tests.rs
+++ b/agent/src/peers/file/tests.rs
@@ -27,3 +27,32 @@
         let _ = fs::remove_dir_all(&self.0);
     }
 }
+
+#[test]
+fn what_ended_processes_left_half_done_is_removed_and_nothing_else() {
+    let folder = Folder::new("abandoned");
+    let ended = std::process::Command::new("true").spawn().and_then(|mut child| {
+        let id = child.id();
+        child.wait().map(|_| id)
+    });
+    let ended = ended.expect("a process that has ended");
+    let own = |what: &str, process: u32| format!("{}-{what}.{process}.new", owner().stem());
+    let gone = [own("cordons", ended), own("learned", ended), own("cordons", std::process::id())];
+    let stay = [
+        own("cordons", 1),
+        format!("{}-cordons.json", owner().stem()),
+        format!("{}-cordons.x.new", owner().stem()),
+        format!("bellcroft-other-cordons.{ended}.new"),
+        format!("note.{ended}.new"),
+    ];
+    for name in gone.iter().chain(&stay) {
+        fs::write(folder.0.join(name), "x").expect("written");
+    }
+    remove_abandoned(&folder.0, &owner());
+    let names = fs::read_dir(&folder.0).expect("a folder").flatten().map(|entry| entry.file_name());
+    let mut names: Vec<String> = names.filter_map(|name| name.into_string().ok()).collect();
+    names.sort();
+    let mut stay = stay.to_vec();
+    stay.sort();
+    assert_eq!(names, stay);
+}
--- a/agent/src/peers/learned.rs
+++ b/agent/src/peers/learned.rs
@@ -4,7 +4,6 @@
 use micasail::{Lesson, Lessons, ServerId, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use std::io;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
@@ -42,14 +41,14 @@
     suspect: bool,
 }
 
-/// Keeps what has been learned for the next process. A failure costs that one a slow start and nothing else.
-pub fn keep(
+/// The file, and what it should say for the next process. Without it that one has a slow start and nothing worse.
+pub fn draft(
     folder: &Path,
     owner: &Owner,
     lessons: Lessons,
     now: Now,
     name: impl Fn(ServerId) -> Option<String>,
-) -> io::Result<()> {
+) -> (PathBuf, Vec<u8>) {
     let server = |l: Lesson| {
         let Lesson { server, started, limit, cut, stretch, pace, samples, cold_sent, suspect } = l;
         let started = started.map(|at| at.0);
@@ -62,7 +61,8 @@
     let servers = servers.into_iter().filter_map(server).collect();
     let of = owner.clone();
     let learned = Learned { form: FORM, of, at: now.wall, level, median, class_pace, warm_sent, servers };
-    file::replace(&folder.join(owner.file(LEARNED)), &learned)
+    // Text for keys and nothing that could fail to be written.
+    (folder.join(owner.file(LEARNED)), serde_json::to_vec(&learned).unwrap_or_default())
 }
 
 /// What a process begins with: what the one beside it has learned, if that is fresh.
--- a/agent/src/peers/learned/tests.rs
+++ b/agent/src/peers/learned/tests.rs
@@ -1,6 +1,18 @@
 use super::super::file::tests::{owner, Folder};
+use super::super::writer::{self, Outlives};
 use super::*;
 
+fn keep(
+    folder: &Path,
+    owner: &Owner,
+    lessons: Lessons,
+    now: Now,
+    name: impl Fn(ServerId) -> Option<String>,
+) -> std::io::Result<()> {
+    let (file, text) = draft(folder, owner, lessons, now, name);
+    writer::replace(&file, &text, Outlives::Process)
+}
+
 fn inherited(folder: &Folder, id: impl Fn(&str) -> Option<ServerId>) -> Option<Lessons> {
     Inheritance::new(&folder.0, owner(), Now::read()).look(Now::read(), id)
 }
--- a/agent/src/peers/mod.rs
+++ b/agent/src/peers/mod.rs
@@ -4,3 +4,4 @@
 pub mod file;
 pub mod learned;
 pub mod listener;
+pub mod writer;
--- a/agent/src/staff/operator.rs
+++ b/agent/src/staff/operator.rs
@@ -60,7 +60,7 @@
 
 async fn caller(staff: Rc<Staff>, mut stream: TcpStream) {
     let answer = match timeout(LINE_WAIT, line(&mut stream)).await {
-        Ok(Some(Ok(call))) => answer(&staff, &call),
+        Ok(Some(Ok(call))) => answer(&staff, &call).await,
         Ok(Some(Err(why))) => format!("error {why}\n"),
         Ok(None) => return,
         Err(_) => "error no whole line in time\n".to_owned(),
@@ -106,7 +106,7 @@
 }
 
 /// The answer to a call, whole.
-fn answer(staff: &Rc<Staff>, call: &str) -> String {
+async fn answer(staff: &Rc<Staff>, call: &str) -> String {
     let words: Vec<&str> = call.split_whitespace().collect();
     let answer = match words[..] {
         ["health"] if staff.serves() => Ok("done".to_owned()),
@@ -114,12 +114,12 @@
         ["counters"] => return figures(&staff.counters()),
         ["renderers"] => return figures(&staff.renderers()),
         ["zones"] => return figures(&staff.zones()),
-        [call @ ("cordon" | "uncordon"), id] => match staff.cordon(id, call == "cordon") {
+        [call @ ("cordon" | "uncordon"), id] => match staff.cordon(id, call == "cordon").await {
             Ok(true) => Ok("done".to_owned()),
             Ok(false) => Err(format!("no renderer {id:.80}")),
             Err(why) => Err(format!("it holds in this process alone, an upgrade would forget it: {why}")),
         },
-        ["zone", word @ ("leave" | "return"), name] => match staff.zone(name, word == "leave") {
+        ["zone", word @ ("leave" | "return"), name] => match staff.zone(name, word == "leave").await {
             Ok(true) => Ok("done".to_owned()),
             Ok(false) => Err(format!("no zone {name:.80}")),
             Err(why) => Err(format!("it holds in this process alone, an upgrade would forget it: {why}")),
--- a/agent/src/staff/words.rs
+++ b/agent/src/staff/words.rs
@@ -4,25 +4,39 @@
 use crate::figures::{self, Attempts};
 use crate::forms::{Counters, Renderers, Zone, Zones, RENDERERS_MOST, ZONES_MOST};
 use crate::peers::cordons::{Cordons, Word};
-use crate::peers::file::{Now, Owner};
+use crate::peers::file::{self, Now, Owner};
 use crate::peers::learned::{self, Inheritance};
+use crate::peers::writer::{Outlives, Writer};
+use crate::staff::saver::{Saver, Unsaved};
 use micasail::Time;
 use micasail_settings::Names;
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::io;
 use std::path::PathBuf;
 use std::rc::Rc;
 
 /// Before the name of a zone among the words on renderers; no call can name a renderer with a space.
 const ZONE: &str = "zone ";
 
+/// How the writes of what was learned go.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Keeping {
+    /// Nothing is being written.
+    Idle,
+    /// A write is under way.
+    UnderWay { failing: bool },
+    /// The last one failed, and that has been said.
+    Failing,
+}
+
 /// What the staff ask and say.
 pub struct Staff {
     driver: Rc<Driver>,
-    cordons: RefCell<Cordons>,
-    /// Where the processes of this agent leave each other what they know.
-    folder: Option<PathBuf>,
+    cordons: Rc<RefCell<Cordons>>,
+    saver: Rc<Saver>,
+    /// Where the processes of this agent leave each other what they know, and what writes there.
+    folder: Option<(PathBuf, Rc<Writer>)>,
+    keeping: Cell<Keeping>,
     /// What this process may begin with, of what the one beside it has learned.
     inheritance: RefCell<Option<Inheritance>>,
     /// Who they are, so that nobody else's is taken in.
@@ -34,10 +48,18 @@
     pub fn new(driver: Rc<Driver>, folder: Option<PathBuf>, agent: String, listen: String) -> Rc<Self> {
         let Names { zones, classes, .. } = driver.names.clone();
         let owner = Owner { agent, listen, zones, classes };
-        let cordons = RefCell::new(Cordons::new(folder.clone(), owner.clone()));
-        let inherits = |folder: &PathBuf| Inheritance::new(folder, owner.clone(), Now::read());
-        let inheritance = RefCell::new(folder.as_ref().map(inherits));
-        let staff = Staff { driver, cordons, inheritance, folder, owner };
+        let folder = folder.and_then(with_writer);
+        let path = folder.as_ref().map(|(path, _)| path.clone());
+        path.iter().for_each(|path| file::remove_abandoned(path, &owner));
+        let inherits = |path: &PathBuf| Inheritance::new(path, owner.clone(), Now::read());
+        let inheritance = RefCell::new(path.as_ref().map(inherits));
+        let cordons = Rc::new(RefCell::new(Cordons::new(path, owner.clone())));
+        let saver = Rc::new(Saver::default());
+        if let Some((_, writer)) = &folder {
+            tokio::task::spawn_local(saver.clone().run(cordons.clone(), writer.clone()));
+        }
+        let keeping = Cell::new(Keeping::Idle);
+        let staff = Staff { driver, cordons, saver, folder, keeping, inheritance, owner };
         staff.look();
         Rc::new(staff)
     }
@@ -53,12 +75,17 @@
         figures::report(&self.driver.counts(), &self.driver.names.classes, fleet.listed, fleet.avoided)
     }
 
+    /// The operators' words that would not outlive this process yet.
+    fn unsaved(&self) -> u64 {
+        self.cordons.borrow().unsaved() as u64
+    }
+
     /// Each renderer on the list.
     pub fn renderers(&self) -> Renderers {
         let mut renderers = self.driver.renderers();
         let left_out = renderers.len().saturating_sub(RENDERERS_MOST) as u64;
         renderers.truncate(RENDERERS_MOST);
-        Renderers { renderers, left_out }
+        Renderers { renderers, left_out, unsaved: self.unsaved() }
     }
 
     /// The same summed by zone, with what was counted of renderers that have left the list.
@@ -92,44 +119,55 @@
             zone: name,
             ..zone
         });
-        Zones { zones: named.collect(), left_out }
+        Zones { zones: named.collect(), left_out, unsaved: cordons.unsaved() as u64 }
     }
 
     /// Takes a server out of use for the operators, or brings it back; false if nobody has had that name. An error
-    /// means that this process does so, and that one that takes over will not know.
-    pub fn cordon(&self, name: &str, out: bool) -> io::Result<bool> {
+    /// means that this process does so, and that one that takes over will not know yet.
+    pub async fn cordon(&self, name: &str, out: bool) -> Result<bool, Unsaved> {
         self.look();
-        let mut cordons = self.cordons.borrow_mut();
-        if !cordons.knows(name) && self.driver.server(name).is_none() {
+        if !self.cordons.borrow().knows(name) && self.driver.server(name).is_none() {
             return Ok(false);
         }
-        if cordons.out(name) != out {
-            self.pass_on(name, out, self.driver.clock.now());
-            cordons.say(name, out, Now::read())?;
-        }
+        self.hold(name, out).await?;
         Ok(true)
     }
 
     /// Leaves a zone for the operators, or returns to it; false if there is no such zone. An error as with cordons.
-    pub fn zone(&self, name: &str, out: bool) -> io::Result<bool> {
+    pub async fn zone(&self, name: &str, out: bool) -> Result<bool, Unsaved> {
         self.look();
-        let mut cordons = self.cordons.borrow_mut();
         let key = format!("{ZONE}{name}");
-        if !cordons.knows(&key) && !self.driver.knows_zone(name) {
+        if !self.cordons.borrow().knows(&key) && !self.driver.knows_zone(name) {
             return Ok(false);
         }
-        if cordons.out(&key) != out {
-            self.pass_on(&key, out, self.driver.clock.now());
-            cordons.say(&key, out, Now::read())?;
-        }
+        self.hold(&key, out).await?;
         Ok(true)
     }
 
+    /// Does what the operators say, at once, and waits until that will outlive this process. One who says it again asks
+    /// for the same.
+    async fn hold(&self, key: &str, out: bool) -> Result<(), Unsaved> {
+        if self.cordons.borrow().out(key) != out {
+            self.pass_on(key, out, self.driver.clock.now());
+            self.cordons.borrow_mut().say(key, out, Now::read());
+        }
+        if self.cordons.borrow().is_saved() {
+            return Ok(());
+        }
+        let revision = self.cordons.borrow().revision();
+        self.saver.saved(revision).await
+    }
+
     /// Takes in what the operators have said to another process of this agent.
     pub fn look(&self) {
-        for (name, Word { out, at }) in self.cordons.borrow_mut().look(Now::read()) {
+        let before = self.cordons.borrow().revision();
+        let news = self.cordons.borrow_mut().look(Now::read());
+        for (name, Word { out, at }) in news {
             self.pass_on(&name, out, self.driver.time_of_wall_clock(Time(at)));
         }
+        if self.cordons.borrow().revision() != before {
+            self.saver.wake();
+        }
     }
 
     fn pass_on(&self, name: &str, out: bool, at: Time) {
@@ -154,19 +192,45 @@
     }
 
     /// Leaves what has been learned there, once there is something.
-    pub fn keep_learned(&self) {
-        let Some(folder) = &self.folder else { return };
+    pub fn keep_learned(self: &Rc<Self>) {
+        let Some((folder, writer)) = &self.folder else { return };
         // What this process writes would pass for a sign of life of the one beside it.
         if self.inheritance.borrow().as_ref().is_some_and(Inheritance::awaited) {
             return;
         }
+        let failing = match self.keeping.get() {
+            Keeping::UnderWay { .. } => return,
+            keeping => keeping == Keeping::Failing,
+        };
         let lessons = self.driver.lessons();
         if lessons.servers.iter().all(|lesson| lesson.samples == 0) {
             return;
         }
         let name = |server| Some(self.driver.name(server)).filter(|name| !name.is_empty());
-        if let Err(why) = learned::keep(folder, &self.owner, lessons, Now::read(), name) {
-            tracing::warn!(target: "handover", "what was learned is not kept: {why}");
+        let (file, text) = learned::draft(folder, &self.owner, lessons, Now::read(), name);
+        self.keeping.set(Keeping::UnderWay { failing });
+        let (staff, writer) = (self.clone(), writer.clone());
+        tokio::task::spawn_local(async move {
+            let kept = writer.replace(file, text, Outlives::Process).await;
+            match &kept {
+                Err(why) if !failing => {
+                    tracing::warn!(target: "handover", "what was learned is not kept: {why}; it is tried again each second");
+                }
+                Ok(()) if failing => tracing::info!(target: "handover", "what was learned is kept again"),
+                _ => {}
+            }
+            staff.keeping.set(if kept.is_ok() { Keeping::Idle } else { Keeping::Failing });
+        });
+    }
+}
+
+/// The folder with a thread that writes there. Without one, this process is as one without a folder.
+fn with_writer(folder: PathBuf) -> Option<(PathBuf, Rc<Writer>)> {
+    match Writer::start() {
+        Ok(writer) => Some((folder, Rc::new(writer))),
+        Err(why) => {
+            tracing::warn!(target: "handover", "nothing is left for a process after this one: {why}");
+            None
         }
     }
 }
--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,7 +5,7 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 28] = [
+const LAYERS: [&str; 30] = [
     "list",
     "forms",
     "figures",
@@ -18,6 +18,7 @@
     "renderers/upstream",
     "renderers/discovery",
     "peers/file",
+    "peers/writer",
     "peers/cordons",
     "peers/learned",
     "peers/listener",
@@ -27,6 +28,7 @@
     "driver/requests",
     "driver",
     "application/server",
+    "staff/saver",
     "staff/words",
     "staff/operator",
     "process",
