--- a/agent/src/peers/file/tests.rs
+++ b/agent/src/peers/file/tests.rs
@@ -1,5 +1,7 @@
 //! The files' tests, and what the tests of all that is written to them share.
 
+mod earlier_version;
+
 use super::*;
 use std::path::PathBuf;
 
