--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,7 +5,7 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 26] = [
+const LAYERS: [&str; 32] = [
     "list",
     "forms",
     "figures",
@@ -19,12 +19,18 @@
     "renderers/connect",
     "renderers/upstream",
     "renderers/discovery",
-    "peers/handover",
+    "peers/file",
+    "peers/writer",
+    "peers/cordons",
+    "peers/learned",
+    "peers/listener",
+    "driver/clock",
     "driver/queue",
     "driver/servers",
     "driver/requests",
     "driver",
     "application/server",
+    "staff/saver",
     "staff/words",
     "staff/operator",
     "process",
