--- a/src/records.rs
+++ b/src/records.rs
@@ -10,6 +10,8 @@
 const LESSONS_MOST: usize = 1024;
 /// Keys remembered; past that all are forgotten, which costs each of them one cold run.
 const KEYS_MOST: usize = 10_000;
+/// Hints that the mean of a class remembers at most.
+const HINTS_MOST: u32 = 100;
 /// Traffic is counted over about this many milliseconds.
 const COUNT_MS: f64 = 3000.0;
 /// Slots of servers that have left that are freed at a time at most.
@@ -53,6 +55,25 @@
     }
 }
 
+/// The mean cost hint of a class's requests, of which the last ones weigh most.
+#[derive(Debug, Clone, Copy, Default)]
+pub(crate) struct MeanHint {
+    ms: f64,
+    hints: u32,
+}
+
+impl MeanHint {
+    fn add(&mut self, hint: Span) {
+        self.hints = (self.hints + 1).min(HINTS_MOST);
+        self.ms += (hint.ms() - self.ms) / f64::from(self.hints);
+    }
+
+    /// In milliseconds; none before the first hint.
+    fn get(&self) -> Option<f64> {
+        (self.hints > 0).then_some(self.ms)
+    }
+}
+
 /// What a pick must know of its request.
 pub(crate) struct Pick {
     pub(crate) id: RequestId,
@@ -428,6 +449,8 @@
     /// Traffic of the last seconds by class and by tenant.
     pub(crate) asked: Vec<f64>,
     pub(crate) tenant_asked: Vec<f64>,
+    /// What the hints of each class say on average.
+    pub(crate) mean_hints: Vec<MeanHint>,
     pub(crate) counted_at: Time,
     /// Classes that are refused last.
     pub(crate) spared: Vec<bool>,
@@ -497,6 +520,7 @@
             usual_wait: vec![(Span::ZERO, 0); classes],
             asked: vec![0.0; classes],
             tenant_asked: vec![0.0; settings.tenants.len()],
+            mean_hints: vec![MeanHint::default(); classes],
             counted_at: Time(0),
             spared: vec![false; classes],
             median: 0.2,
@@ -528,12 +552,15 @@
 }
 
 impl Balancer {
-    /// Keeps the traffic of the last seconds by class and by tenant.
+    /// Keeps the traffic of the last seconds by class and by tenant, and what hints say.
     pub(crate) fn count(&mut self, now: Time, request: &Request) {
         let keep = (-now.since(self.counted_at).ms() / COUNT_MS).exp();
         self.counted_at = now;
         self.asked.iter_mut().chain(&mut self.tenant_asked).for_each(|n| *n *= keep);
         self.asked[request.class.0] += 1.0;
+        if let Some(hint) = request.cost_hint {
+            self.mean_hints[request.class.0].add(hint);
+        }
         if let Some(n) = request.tenant.and_then(|t| self.tenant_asked.get_mut(t.0)) {
             *n += 1.0;
         }
@@ -887,7 +914,7 @@
             id: live.request.id,
             class,
             reach: self.lawful(live, now).send,
-            work: self.work(live),
+            work: self.hinted_work(live),
             heavy: (self.work(live) / self.usual(class)).clamp(1.0, 9.0).sqrt(),
             safe: self.settings.classes[class].effect == Effect::Idempotent,
             key,
@@ -920,6 +947,13 @@
         live.request.cost_hint.map_or_else(|| self.usual(live.request.class.0), Span::ms)
     }
 
+    /// The same on the scale of the hints, where the class has any: answer times are another, and work sent to cold
+    /// servers is compared with work sent to warm ones.
+    fn hinted_work(&self, live: &Live) -> f64 {
+        let mean = self.mean_hints[live.request.class.0].get().filter(|_| live.request.cost_hint.is_none());
+        mean.unwrap_or_else(|| self.work(live))
+    }
+
     /// What a balancer that takes over from this one should know: of a large fleet the servers that most is known of.
     pub fn lessons(&self, now: Time) -> Lessons {
         let mut told: Vec<&Server> = self.servers.iter().filter(|s| s.open).collect();
--- a/tests/cold_server_not_pushed_over.rs
+++ b/tests/cold_server_not_pushed_over.rs
@@ -2,6 +2,7 @@
 mod common;
 use common::*;
 use micasail::*;
+use std::collections::{BTreeMap, VecDeque};
 
 fn settings() -> Settings {
     Settings {
@@ -110,3 +111,56 @@
     }
     assert_eq!(actions.iter().filter(|a| matches!(a, Action::Send { .. })).count(), 4);
 }
+
+/// Sends `count` requests, each of which is answered after `busy_ms` by whatever server got it, `gap_ms` apart.
+struct Load {
+    gap_ms: f64,
+    busy_ms: f64,
+    hint: fn(usize) -> Option<Span>,
+}
+
+impl Load {
+    /// How many requests each server was sent.
+    fn play(&self, rig: &mut Rig, first_id: u64, count: usize) -> BTreeMap<ServerId, usize> {
+        let mut sent = BTreeMap::new();
+        let mut busy: VecDeque<(Time, RequestId)> = VecDeque::new();
+        for number in 0..count {
+            let id = RequestId(first_id + number as u64);
+            let mut request = Request::new(id, ClassId(0), rig.deadline(0));
+            request.cost_hint = (self.hint)(number);
+            rig.tell(Event::Request(request));
+            if let Some(server) = rig.sent_to(id) {
+                *sent.entry(server).or_default() += 1;
+                busy.push_back((rig.now + Span::from_ms(self.busy_ms), id));
+            }
+            let last = number + 1 == count;
+            rig.wait(Span::from_ms(if last { self.busy_ms } else { self.gap_ms }));
+            while busy.front().is_some_and(|(end, _)| *end <= rig.now) {
+                let (_, id) = busy.pop_front().expect("looked at above");
+                rig.answer(id, 0, Outcome::Success, self.busy_ms);
+            }
+        }
+        sent
+    }
+}
+
+/// Every request does the same work, but only half of them say so, and answers take an eighth of what the hints say.
+#[test]
+fn requests_without_a_hint_weigh_as_much_as_those_with_one() {
+    let mut rig = Rig::new(settings(), 4);
+    let mut lines = fleet(3, 1, 1);
+    rig.list(lines.clone());
+    let hint = |number: usize| (number % 2 == 0).then_some(Span::from_ms(40.0));
+    let load = Load { gap_ms: 2.0, busy_ms: 5.0, hint };
+    load.play(&mut rig, 0, 1000);
+    lines[2].started = Some(rig.now);
+    rig.list(lines);
+    load.play(&mut rig, 1000, 500);
+    let sent = load.play(&mut rig, 1500, 750);
+    let to = |server| sent.get(&ServerId(server)).copied().unwrap_or(0) as f64;
+    let (warm, cold) = ((to(0) + to(1)) / 2.0, to(2));
+    // Over these 1.5 s it has grown from 0.28 to 0.4 of its capacity.
+    assert!(cold <= 0.45 * warm, "cold {cold}, a warm one {warm}");
+    assert!(cold >= 0.15 * warm, "cold {cold}, a warm one {warm}");
+    rig.assert_rules();
+}
