--- a/src/logic.rs
+++ b/src/logic.rs
@@ -28,6 +28,8 @@
 const NEAR: f64 = 0.2;
 /// A blind balancer sends a cold server this part of the overload that would push it over.
 const COLD_TRUST: f64 = 0.5;
+/// A blind balancer's own count at a cold server weighs the inverse of its capacity, of this at least.
+const LEAST_WARMTH: f64 = 0.01;
 /// A server that the operators bring back is tried within this, at a time of each balancer's own: the tries
 /// of all must not meet on a cold server. Of more balancers than this, about as many see to it, by chance.
 const TRY_WITHIN: Span = Span(4_000_000);
@@ -545,8 +547,9 @@
     /// The candidate with the least own load: requests in flight, scaled by what the machine costs (how slow
     /// it has shown itself, a priced crossing, a warm key). Ties fall by its report; a coin is last.
     ///
-    /// A blind balancer compares the plain counts, and the coin is weighed by what each candidate can bear.
-    /// As the last choice is among the candidates, the choices of all together settle in proportion to that.
+    /// A blind balancer compares the counts, that of a cold server over the capacity that it surely has, and
+    /// the coin is weighed by what each candidate can bear. As the last choice is among the candidates, the
+    /// choices of all together settle in proportion to that.
     fn lightest(&mut self, now: Time, candidates: &[usize], pick: &Pick) -> Option<usize> {
         let away = (1.0 + 100.0 * AWAY * self.settings.prices.cross_zone).clamp(1.0, AWAY_MOST);
         let (blind, asks) = (self.blind, self.asks());
@@ -557,7 +560,8 @@
             let report = s.reported + f64::from(s.sent_since);
             let key = if blind {
                 let told = if asks { report.round() as i64 } else { 0 };
-                (i64::from(s.in_flight), told, (-(1.0 - coin).ln() / self.bears(s, now)).to_bits())
+                let full = f64::from(s.in_flight) / self.warmth(s, now).max(LEAST_WARMTH);
+                (full.round() as i64, told, (-(1.0 - coin).ln() / self.bears(s, now)).to_bits())
             } else {
                 let far = match s.listed.zone {
                     zone if zone == self.settings.zone => 1.0,
--- a/tests/cold_server_not_pushed_over.rs
+++ b/tests/cold_server_not_pushed_over.rs
@@ -164,3 +164,23 @@
     assert!(cold >= 0.15 * warm, "cold {cold}, a warm one {warm}");
     rig.assert_rules();
 }
+
+/// With more balancers than servers limits per server bind nothing; the own counts must leave a cold one its part.
+#[test]
+fn many_own_requests_do_not_crowd_the_cold_servers_of_a_blind_balancer() {
+    let mut rig = Rig::new(Settings { balancers: 7, ..settings() }, 4);
+    let start = rig.now;
+    let lines = fleet(6, 1, 1).into_iter();
+    rig.list(lines.map(|l| Listed { started: (l.server.0 > 0).then_some(start), ..l }).collect());
+    // Some 60 are out at a time, ten a server.
+    let load = Load { gap_ms: 2.0, busy_ms: 120.0, hint: |_| None };
+    let sent = load.play(&mut rig, 0, 1000);
+    let warm = sent[&ServerId(0)] as f64;
+    for server in (1..6).map(ServerId) {
+        let cold = sent.get(&server).copied().unwrap_or(0) as f64;
+        // Over these 2 s it has grown from 0.2 to 0.36 of its capacity.
+        assert!(cold <= 0.5 * warm, "{server:?}: cold {cold}, the warm one {warm}");
+        assert!(cold >= 0.1 * warm, "{server:?}: cold {cold}, the warm one {warm}");
+    }
+    rig.assert_rules();
+}
