--- a/src/lib.rs
+++ b/src/lib.rs
@@ -25,6 +25,7 @@
 mod api;
 mod index;
 mod logic;
+mod recent;
 mod records;
 #[cfg(test)]
 mod tests;
--- a/src/records.rs
+++ b/src/records.rs
@@ -2,6 +2,7 @@
 
 use crate::api::*;
 use crate::index::*;
+use crate::recent::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,8 +11,6 @@
 const LESSONS_MOST: usize = 1024;
 /// Keys remembered; past that all are forgotten, which costs each of them one cold run.
 const KEYS_MOST: usize = 10_000;
-/// Hints that the mean of a class remembers at most.
-const HINTS_MOST: u32 = 100;
 /// Traffic is counted over about this many milliseconds.
 const COUNT_MS: f64 = 3000.0;
 /// Slots of servers that have left that are freed at a time at most.
@@ -37,43 +36,6 @@
     pub(crate) until: Time,
 }
 
-/// A sum whose parts fade with time.
-#[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Fading {
-    sum: f64,
-    over_ms: f64,
-    at: Time,
-}
-
-impl Fading {
-    pub(crate) fn now(&self, now: Time) -> f64 {
-        self.sum * (-now.since(self.at).ms() / self.over_ms.max(1.0)).exp()
-    }
-
-    pub(crate) fn add(&mut self, now: Time, over_ms: f64, part: f64) {
-        *self = Fading { sum: self.now(now) + part, over_ms, at: now };
-    }
-}
-
-/// The mean cost hint of a class's requests, of which the last ones weigh most.
-#[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct MeanHint {
-    ms: f64,
-    hints: u32,
-}
-
-impl MeanHint {
-    fn add(&mut self, hint: Span) {
-        self.hints = (self.hints + 1).min(HINTS_MOST);
-        self.ms += (hint.ms() - self.ms) / f64::from(self.hints);
-    }
-
-    /// In milliseconds; none before the first hint.
-    fn get(&self) -> Option<f64> {
-        (self.hints > 0).then_some(self.ms)
-    }
-}
-
 /// What a pick must know of its request.
 pub(crate) struct Pick {
     pub(crate) id: RequestId,
