--- a/src/logic.rs
+++ b/src/logic.rs
@@ -471,12 +471,22 @@
         let limit = s.limit * self.level;
         let rested = now.since(s.ended).ms() >= s.took * (1.0 / limit - 1.0).max(0.0) && now >= s.rest_until;
         let warmth = self.warmth(s, now);
-        let share = || warmth * self.warm_sent.now(now);
         let owed = || s.try_by.is_some_and(|by| now >= by);
-        let cold = warmth < 1.0 && self.warm() > 0 && s.cold_sent.now(now) + work > share() && !owed();
+        let cold = warmth < 1.0 && self.warm() > 0 && self.over_cold_share(now, s, warmth, work) && !owed();
         rested && !cold && f64::from(s.at_work()) + 1.0 <= (limit * warmth).max(1.0)
     }
 
+    /// Whether this work would bring a cold server over its share of what warm ones were sent lately, or over
+    /// what the settings allow next to what they were sent in the window that the settings name: the memory
+    /// of a load that has ended, or has moved off the warm ones, reaches further back than that.
+    fn over_cold_share(&self, now: Time, s: &Server, warmth: f64, work: f64) -> bool {
+        let window = self.settings.fall_after;
+        let most = self.settings.overload_factor.max(1.0) * warmth;
+        let sent = s.cold_window.as_ref().map_or(0.0, |sum| sum.at_most(now, window));
+        s.cold_sent.now(now) + work > warmth * self.warm_sent.now(now)
+            || sent + work > most * self.warm_window.at_least(now, window)
+    }
+
     /// Fresh uniform draws from the servers that are ready for the request, and the remembered ones that are.
     /// Where a crossing has a price, as many come from the own zone, which three draws often miss. Which is
     /// lightest is not touched by where it was drawn. In a jam any room counts. Draws are by rejection, four
--- a/src/records.rs
+++ b/src/records.rs
@@ -162,6 +162,8 @@
     pub(crate) try_by: Option<Time>,
     /// Work sent to it while it was cold.
     pub(crate) cold_sent: Fading,
+    /// The same over `fall_after`; few servers are cold.
+    pub(crate) cold_window: Option<Box<Windowed>>,
     /// Load by the last report, and sends since.
     pub(crate) reported: f64,
     pub(crate) reported_at: Option<Time>,
@@ -194,6 +196,7 @@
             returned: None,
             try_by: None,
             cold_sent: Fading::default(),
+            cold_window: None,
             reported: 0.0,
             reported_at: None,
             sent_since: 0,
@@ -372,6 +375,8 @@
     pub(crate) settled: Time,
     /// The work that each warm server was sent on average.
     pub(crate) warm_sent: Fading,
+    /// The same over `fall_after`.
+    pub(crate) warm_window: Windowed,
     /// The most servers that were serving at a time.
     pub(crate) most: usize,
     /// With more balancers than servers, most of a server's load is other balancers' and own counts are
@@ -474,6 +479,7 @@
             warming: Dues::default(),
             settled: Time(0),
             warm_sent: Fading::default(),
+            warm_window: Windowed::default(),
             most: 0,
             blind: false,
             warm_keys: BTreeMap::new(),
@@ -554,7 +560,8 @@
     /// sense is left out.
     pub(crate) fn take_over(&mut self, now: Time, lessons: Lessons, within: &Bounds) {
         let sane = |x: f64| x.is_finite() && x > 0.0;
-        let over = 0.5 * self.settings.fall_after.ms();
+        let window = self.settings.fall_after;
+        let over = 0.5 * window.ms();
         if sane(lessons.level) {
             self.level = lessons.level.clamp(within.level_least, 1.0);
         }
@@ -566,6 +573,7 @@
         }
         if sane(lessons.warm_sent) {
             self.warm_sent.add(now, over, lessons.warm_sent);
+            self.warm_window.add(now, window, lessons.warm_sent);
         }
         for lesson in lessons.servers {
             let Some(&i) = self.index.get(&lesson.server) else { continue };
@@ -580,6 +588,7 @@
             s.samples = lesson.samples;
             if sane(lesson.cold_sent) {
                 s.cold_sent.add(now, over, lesson.cold_sent);
+                s.cold_window.get_or_insert_default().add(now, window, lesson.cold_sent);
             }
             if lesson.suspect && !self.blind {
                 let pause = within.trial_pause;
@@ -841,9 +850,16 @@
         s.uploading += u32::from(uploading);
         s.sent_since += 1;
         s.idle = if kept { s.idle - 1 } else { 0 };
-        let share = pick.work / warm.max(1) as f64;
-        let (sent, work) = if cold { (&mut s.cold_sent, pick.work) } else { (&mut self.warm_sent, share) };
-        sent.add(now, 0.5 * self.settings.fall_after.ms(), work);
+        let window = self.settings.fall_after;
+        if cold {
+            s.cold_sent.add(now, 0.5 * window.ms(), pick.work);
+            s.cold_window.get_or_insert_default().add(now, window, pick.work);
+        } else {
+            s.cold_window = None;
+            let share = pick.work / warm.max(1) as f64;
+            self.warm_sent.add(now, 0.5 * window.ms(), share);
+            self.warm_window.add(now, window, share);
+        }
         s.try_by = None;
         self.untried.set(server, None);
         let trial = s.suspicion.is_some();
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -1,6 +1,7 @@
 //! What is kept by increments is what a walk over all servers would find, whatever happens in whatever order.
 
 use crate::api::*;
+use crate::recent::*;
 use crate::records::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -243,3 +244,34 @@
     b.handle(now, Event::List(ListUpdate::Changes(lines)), &mut out);
     assert_eq!(order(&b), before);
 }
+
+/// Each amount counts for the whole window and for a sixteenth of it at most after that.
+#[test]
+fn a_window_holds_what_was_added_in_it() {
+    let window = Span::from_ms(1000.0);
+    let at = |ms: u64| Time(50_000_000 + 1000 * ms);
+    for begin in (0..200).step_by(7) {
+        let mut sum = Windowed::default();
+        sum.add(at(begin), window, 2.0);
+        sum.add(at(begin + 500), window, 3.0);
+        assert_eq!(sum.at_least(at(begin + 900), window), 5.0);
+        assert_eq!(sum.at_most(at(begin + 1000), window), 5.0);
+        assert_eq!(sum.at_least(at(begin + 1001), window), 3.0);
+        assert_eq!(sum.at_most(at(begin + 1064), window), 3.0);
+        assert_eq!(sum.at_most(at(begin + 9000), window), 0.0);
+        sum.add(at(begin + 9000), window, 1.0);
+        assert_eq!(sum.at_most(at(begin + 9000), window), 1.0);
+    }
+}
+
+/// A clock that goes back adds to the newest part, and a window of no length holds next to nothing.
+#[test]
+fn clocks_and_windows_that_make_no_sense_do_no_harm() {
+    let mut sum = Windowed::default();
+    sum.add(Time(5_000_000), Span::from_ms(1000.0), 1.0);
+    sum.add(Time(1), Span::from_ms(1000.0), 1.0);
+    assert_eq!(sum.at_least(Time(1), Span::from_ms(1000.0)), 2.0);
+    let mut sum = Windowed::default();
+    sum.add(Time(0), Span::ZERO, 1.0);
+    assert_eq!(sum.at_most(Time(100), Span::ZERO), 0.0);
+}
--- a/tests/cold_server_not_pushed_over.rs
+++ b/tests/cold_server_not_pushed_over.rs
@@ -2,7 +2,7 @@
 mod common;
 use common::*;
 use micasail::*;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 
 fn settings() -> Settings {
     Settings {
@@ -112,35 +112,88 @@
     assert_eq!(actions.iter().filter(|a| matches!(a, Action::Send { .. })).count(), 4);
 }
 
-/// Sends `count` requests, each of which is answered after `busy_ms` by whatever server got it, `gap_ms` apart.
+/// An attempt that its server is busy with.
+struct Busy {
+    until: Time,
+    request: RequestId,
+    attempt: u32,
+    server: ServerId,
+}
+
+/// Requests that come `gap_ms` apart; each attempt is answered well after `busy_ms`, unless its server is silent.
 struct Load {
     gap_ms: f64,
     busy_ms: f64,
-    hint: fn(usize) -> Option<Span>,
+    hint: fn(u64) -> Option<Span>,
+    silent: fn(ServerId) -> bool,
+    requests: u64,
+    busy: Vec<Busy>,
+    attempts: BTreeMap<RequestId, u32>,
+    /// Attempts by server.
+    sent: BTreeMap<ServerId, u32>,
 }
 
 impl Load {
-    /// How many requests each server was sent.
-    fn play(&self, rig: &mut Rig, first_id: u64, count: usize) -> BTreeMap<ServerId, usize> {
-        let mut sent = BTreeMap::new();
-        let mut busy: VecDeque<(Time, RequestId)> = VecDeque::new();
-        for number in 0..count {
-            let id = RequestId(first_id + number as u64);
-            let mut request = Request::new(id, ClassId(0), rig.deadline(0));
+    /// No server is silent, and no request says what it costs.
+    fn new(gap_ms: f64, busy_ms: f64) -> Self {
+        Load {
+            gap_ms,
+            busy_ms,
+            hint: |_| None,
+            silent: |_| false,
+            requests: 0,
+            busy: Vec::new(),
+            attempts: BTreeMap::new(),
+            sent: BTreeMap::new(),
+        }
+    }
+
+    /// Plays so many requests more and counts their attempts anew.
+    fn play(&mut self, rig: &mut Rig, requests: u64) {
+        self.sent.clear();
+        for number in self.requests..self.requests + requests {
+            let mut request = Request::new(RequestId(number), ClassId(0), rig.deadline(0));
             request.cost_hint = (self.hint)(number);
-            rig.tell(Event::Request(request));
-            if let Some(server) = rig.sent_to(id) {
-                *sent.entry(server).or_default() += 1;
-                busy.push_back((rig.now + Span::from_ms(self.busy_ms), id));
-            }
-            let last = number + 1 == count;
-            rig.wait(Span::from_ms(if last { self.busy_ms } else { self.gap_ms }));
-            while busy.front().is_some_and(|(end, _)| *end <= rig.now) {
-                let (_, id) = busy.pop_front().expect("looked at above");
-                rig.answer(id, 0, Outcome::Success, self.busy_ms);
-            }
+            let actions = rig.tell(Event::Request(request)).to_vec();
+            self.take(rig.now, actions);
+            self.go_on(rig);
+        }
+        self.requests += requests;
+    }
+
+    /// Lets what is out end; the rules must have held.
+    fn end(&mut self, rig: &mut Rig) {
+        let end = rig.now + rig.deadline(0) + Span::from_ms(100.0);
+        while rig.now < end {
+            self.go_on(rig);
+        }
+        rig.assert_rules();
+    }
+
+    fn go_on(&mut self, rig: &mut Rig) {
+        let actions = rig.wait(Span::from_ms(self.gap_ms));
+        self.take(rig.now, actions);
+        while let Some(i) = self.busy.iter().position(|busy| busy.until <= rig.now) {
+            let Busy { request, attempt, server, .. } = self.busy.swap_remove(i);
+            let outcome = if (self.silent)(server) { Outcome::TimedOut } else { Outcome::Success };
+            let actions = rig.answer(request, attempt, outcome, self.busy_ms).to_vec();
+            self.take(rig.now, actions);
         }
-        sent
+    }
+
+    fn take(&mut self, now: Time, actions: Vec<Action>) {
+        for action in actions {
+            let Action::Send { request, server, timeout_at } = action else { continue };
+            let attempts = self.attempts.entry(request).or_default();
+            let until = if (self.silent)(server) { timeout_at } else { now + Span::from_ms(self.busy_ms) };
+            self.busy.push(Busy { until, request, attempt: *attempts, server });
+            *attempts += 1;
+            *self.sent.entry(server).or_default() += 1;
+        }
+    }
+
+    fn sent_to(&self, server: u32) -> f64 {
+        f64::from(self.sent.get(&ServerId(server)).copied().unwrap_or(0))
     }
 }
 
@@ -150,19 +203,18 @@
     let mut rig = Rig::new(settings(), 4);
     let mut lines = fleet(3, 1, 1);
     rig.list(lines.clone());
-    let hint = |number: usize| (number % 2 == 0).then_some(Span::from_ms(40.0));
-    let load = Load { gap_ms: 2.0, busy_ms: 5.0, hint };
-    load.play(&mut rig, 0, 1000);
+    let hint = |number| (number % 2 == 0).then_some(Span::from_ms(40.0));
+    let mut load = Load { hint, ..Load::new(2.0, 5.0) };
+    load.play(&mut rig, 1000);
     lines[2].started = Some(rig.now);
     rig.list(lines);
-    load.play(&mut rig, 1000, 500);
-    let sent = load.play(&mut rig, 1500, 750);
-    let to = |server| sent.get(&ServerId(server)).copied().unwrap_or(0) as f64;
-    let (warm, cold) = ((to(0) + to(1)) / 2.0, to(2));
+    load.play(&mut rig, 500);
+    load.play(&mut rig, 750);
+    let (warm, cold) = ((load.sent_to(0) + load.sent_to(1)) / 2.0, load.sent_to(2));
     // Over these 1.5 s it has grown from 0.28 to 0.4 of its capacity.
     assert!(cold <= 0.45 * warm, "cold {cold}, a warm one {warm}");
     assert!(cold >= 0.15 * warm, "cold {cold}, a warm one {warm}");
-    rig.assert_rules();
+    load.end(&mut rig);
 }
 
 /// With more balancers than servers limits per server bind nothing; the own counts must leave a cold one its part.
@@ -173,14 +225,33 @@
     let lines = fleet(6, 1, 1).into_iter();
     rig.list(lines.map(|l| Listed { started: (l.server.0 > 0).then_some(start), ..l }).collect());
     // Some 60 are out at a time, ten a server.
-    let load = Load { gap_ms: 2.0, busy_ms: 120.0, hint: |_| None };
-    let sent = load.play(&mut rig, 0, 1000);
-    let warm = sent[&ServerId(0)] as f64;
-    for server in (1..6).map(ServerId) {
-        let cold = sent.get(&server).copied().unwrap_or(0) as f64;
+    let mut load = Load::new(2.0, 120.0);
+    load.play(&mut rig, 1000);
+    let warm = load.sent_to(0);
+    for server in 1..6 {
+        let cold = load.sent_to(server);
         // Over these 2 s it has grown from 0.2 to 0.36 of its capacity.
-        assert!(cold <= 0.5 * warm, "{server:?}: cold {cold}, the warm one {warm}");
-        assert!(cold >= 0.1 * warm, "{server:?}: cold {cold}, the warm one {warm}");
+        assert!(cold <= 0.5 * warm, "server {server}: cold {cold}, the warm one {warm}");
+        assert!(cold >= 0.1 * warm, "server {server}: cold {cold}, the warm one {warm}");
     }
-    rig.assert_rules();
+    load.end(&mut rig);
+}
+
+/// What warm servers were sent before the window that the settings name allows a cold server nothing.
+#[test]
+fn a_cold_server_does_not_get_the_share_of_a_load_that_has_ended() {
+    let mut rig = Rig::new(Settings { balancers: 1, ..settings() }, 4);
+    let mut lines = fleet(2, 1, 1);
+    rig.list(lines[..1].to_vec());
+    let mut load = Load::new(2.0, 5.0);
+    load.play(&mut rig, 1000);
+    // The warm server falls silent as the cold one comes.
+    lines[1].started = Some(rig.now);
+    rig.list(lines);
+    load.silent = |server| server == ServerId(0);
+    load.play(&mut rig, 750);
+    let cold = load.sent_to(1);
+    assert!(cold >= 20.0, "it stands in while the load that has ended is in the window: {cold}");
+    load.play(&mut rig, 250);
+    load.end(&mut rig);
 }
