--- a/src/logic.rs
+++ b/src/logic.rs
@@ -258,6 +258,11 @@
         if self.live.contains_key(&id) {
             return;
         }
+        if self.flights.range((id, 0)..=(id, u32::MAX)).next().is_some() {
+            // Of an earlier request of this id: its attempt's end would be taken for that of a new one.
+            out.push(Action::Refuse { request: id, retry_after: None });
+            return;
+        }
         // First tries of a class wait alike; another wait is what earlier tries have left of the deadline.
         let alike = self.waits_alike(&request);
         let spent = if alike { Span::ZERO } else { longest.less(request.time_left) };
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -61,3 +61,25 @@
     assert!(served.count() > 30);
     assert_eq!(rig.observer.lost(rig.now), 0);
 }
+
+/// The ends of attempts are told by their request's id, so an id whose attempt is still out cannot be taken again: the
+/// server would be thought to hold the first attempt for ever.
+#[test]
+fn an_id_that_is_used_again_while_its_attempt_is_out_is_refused_and_leaks_nothing() {
+    let mut rig = Rig::new(settings(), 3);
+    rig.list(fleet(1, 1, 1));
+    let in_flight = |rig: &Rig| rig.balancer.views(rig.now)[0].in_flight;
+    let (id, sent) = rig.ask(0);
+    assert_eq!(sent, Some(ServerId(0)));
+    rig.tell(Event::ClientGone { request: id });
+    let again = Request::new(id, ClassId(0), rig.deadline(0));
+    let actions = rig.tell(Event::Request(again.clone())).to_vec();
+    assert!(refused(&actions, id), "{actions:?}");
+    assert_eq!(in_flight(&rig), 1);
+    rig.answer(id, 0, Outcome::Success, 20.0);
+    assert_eq!(in_flight(&rig), 0, "a late end of the first attempt is its own");
+    rig.tell(Event::Request(again));
+    assert_eq!(rig.sent_to(id), Some(ServerId(0)), "the id is free again");
+    rig.answer(id, 0, Outcome::Success, 20.0);
+    assert_eq!(in_flight(&rig), 0);
+}
