--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -444,3 +444,77 @@
     let there = world.sent.iter().filter(|s| s.0 >= since && s.1 .0 % 2 == 1).count();
     assert!(there <= 3, "{there} sent into silence");
 }
+
+/// All zones are slow, at first nearly five times what is taken for usual, and none is slower than the other: none is
+/// left.
+#[test]
+fn a_fleet_that_is_slow_everywhere_has_no_slow_zone() {
+    for seed in 50..53 {
+        let mut world = World::new(settings(4), fleet(8, 2, 8), seed);
+        world.play(200, 20.0, |_, _, _| Does::Answer(190.0));
+        assert!(world.logs.is_empty(), "{:?}", world.logs);
+    }
+}
+
+/// A thousand balancers that each tried a silent zone of four servers every 250 ms would be a flood of their own: the
+/// pause grows until they all together bring what those servers bear cold.
+#[test]
+fn the_trials_of_many_balancers_are_spread_over_a_longer_pause() {
+    for seed in 53..57 {
+        let mut world = World::new(settings(1000), fleet(16, 4, 16), seed);
+        world.play(400, 20.0, |_, _, _| WELL);
+        let silent = |s: ServerId, _: usize, _: f64| if s.0 % 4 == 1 { Does::Nothing } else { WELL };
+        while world.phase(1) != ZonePhase::Away {
+            assert!(world.class.len() < 1000, "it is left");
+            world.play(1, 20.0, silent);
+        }
+        let since = world.rig.now;
+        world.play(150, 20.0, silent);
+        assert_eq!(world.share(since, 4, None), 0.0, "no trial in the first three seconds");
+        world.play(500, 20.0, silent);
+        assert!(world.share(since, 4, None) > 0.0, "but there is one");
+    }
+}
+
+/// Most answers of a gray zone are good ones too, so that two of them say little: each step back takes six.
+#[test]
+fn a_zone_that_was_slow_for_a_class_comes_back_by_six_good_answers_a_step() {
+    for seed in 58..60 {
+        let mut world = four_zones(two_classes(), seed);
+        world.play(1600, 4.0, |s, class, _| match (s.0 % 4, class) {
+            (1, 1) => Does::Answer(190.0),
+            _ => WELL,
+        });
+        let back = world.logs.len();
+        let mut steps = Vec::new();
+        for _ in 0..2500 {
+            let known = world.logs.len();
+            world.play(2, 4.0, |_, _, _| WELL);
+            let of_class = |log: &&String| log.starts_with("zone 1 ") && log.contains("for class 1");
+            steps.extend(world.logs[known..].iter().filter(of_class).map(|_| world.rig.now));
+        }
+        let logs = &world.logs[back..];
+        assert!(steps.len() >= 3, "it comes back: {logs:?}");
+        for step in steps.windows(2) {
+            let within = |s: &&(Time, ServerId, usize)| s.0 >= step[0] && s.0 < step[1];
+            let there = world.sent.iter().filter(within).filter(|s| s.1 .0 % 4 == 1 && s.2 == 1).count();
+            assert!(there >= 6, "{there} requests in a step: {logs:?}");
+        }
+    }
+}
+
+/// With nothing else left a zone that is away takes the next request, and none waits for its next trial.
+#[test]
+fn an_away_zone_is_taken_up_at_once_if_nothing_else_is_left() {
+    for seed in 62..66 {
+        let mut world = four_zones(settings(4), seed);
+        world.play(400, 5.0, |s, _, _| if s.0 % 4 == 1 { Does::Nothing } else { WELL });
+        assert_eq!(world.phase(1), ZonePhase::Away, "{:?}", world.logs);
+        world.rig.list(fleet(16, 4, 16).into_iter().filter(|l| l.zone == ZoneId(1)).collect());
+        let (listed, before) = (world.rig.now, world.sent.len());
+        world.play(1, 20.0, |_, _, _| WELL);
+        let first = world.sent.get(before).expect("the first request is sent");
+        assert_eq!(first.0, listed, "without a wait");
+        assert_eq!(world.phase(1), ZonePhase::Away, "and not as a trial that went well before");
+    }
+}
