--- a/tests/random_walk.rs
+++ b/tests/random_walk.rs
@@ -136,15 +136,31 @@
     (rig, said)
 }
 
+/// Walks that broke the rule on cold servers once: the 20 of the first 4,000 that did, and those of the first 10,000
+/// that showed what was left of it after each mend.
+const ONCE_BROKEN: [u64; 29] = [
+    225, 366, 422, 447, 701, 1021, 1106, 1344, 1363, 1418, 1444, 1644, 1872, 1944, 2087, 2141, 2364, 3420,
+    3877, 3937, 2371, 2909, 3251, 3551, 3738, 5991, 8698, 8872, 8958,
+];
+
+fn the_rules_hold(pick: u64) {
+    let (rig, said) = walk(pick, 1500);
+    assert!(rig.observer.faults.is_empty(), "walk {pick}: {:#?}", rig.observer.faults);
+    assert_eq!(rig.observer.lost(rig.now), 0, "walk {pick}");
+    let sends = said.iter().filter(|s| s.contains("Send")).count();
+    assert!(sends > 50, "walk {pick} sent only {sends} times and so shows little");
+}
+
+/// The first 250 walks, or as many as `RANDOM_WALKS` says: `RANDOM_WALKS=4000 cargo test --release --test random_walk`.
 #[test]
 fn the_rules_hold_on_random_walks() {
-    for pick in 0..120 {
-        let (rig, said) = walk(pick, 1500);
-        assert!(rig.observer.faults.is_empty(), "walk {pick}: {:#?}", rig.observer.faults);
-        assert_eq!(rig.observer.lost(rig.now), 0, "walk {pick}");
-        let sends = said.iter().filter(|s| s.contains("Send")).count();
-        assert!(sends > 50, "walk {pick} sent only {sends} times and so shows little");
-    }
+    let walks = std::env::var("RANDOM_WALKS").map_or(250, |walks| walks.parse().expect("a number of walks"));
+    (0..walks).for_each(the_rules_hold);
+}
+
+#[test]
+fn the_rules_hold_on_walks_that_once_broke_them() {
+    ONCE_BROKEN.into_iter().for_each(the_rules_hold);
 }
 
 #[test]
