--- a/src/logic.rs
+++ b/src/logic.rs
@@ -28,6 +28,8 @@
 const NEAR: f64 = 0.2;
 /// A blind balancer sends a cold server this part of the overload that would push it over.
 const COLD_TRUST: f64 = 0.5;
+/// A blind balancer's own count at a cold server weighs the inverse of its capacity, of this at least.
+const LEAST_WARMTH: f64 = 0.01;
 /// A server that the operators bring back is tried within this, at a time of each balancer's own: the tries
 /// of all must not meet on a cold server. Of more balancers than this, about as many see to it, by chance.
 const TRY_WITHIN: Span = Span(4_000_000);
@@ -256,6 +258,11 @@
         if self.live.contains_key(&id) {
             return;
         }
+        if self.flights.range((id, 0)..=(id, u32::MAX)).next().is_some() {
+            // Of an earlier request of this id: its attempt's end would be taken for that of a new one.
+            out.push(Action::Refuse { request: id, retry_after: None });
+            return;
+        }
         // First tries of a class wait alike; another wait is what earlier tries have left of the deadline.
         let alike = self.waits_alike(&request);
         let spent = if alike { Span::ZERO } else { longest.less(request.time_left) };
@@ -454,25 +461,46 @@
             Reach::Zone(zone) => s.listed.zone == zone,
             Reach::Cell(cell) => s.listed.cell == cell,
         };
-        lawful && s.open && self.has_room(now, s, ask.work)
+        lawful && s.open && self.has_room(now, s, ask)
     }
 
     /// Room by the learned limit; where that says nothing, only a server that was full is given a rest. A
     /// cold server has room for its share of what warm ones were sent lately, so that the sum of all
     /// balancers cannot push it over while the warm ones are held back.
-    fn has_room(&self, now: Time, s: &Server, work: f64) -> bool {
+    fn has_room(&self, now: Time, s: &Server, ask: &Pick) -> bool {
+        if now < s.rest_until || self.over_cold_share(now, s, ask) {
+            return false;
+        }
         if self.blind {
-            return now >= s.rest_until;
+            return true;
         }
         // Many balancers with one request each are a crowd too: below one, the limit is kept by rests, judged
         // by the limit as it is now; else one late answer at a low level would rest a server for a minute.
         let limit = s.limit * self.level;
-        let rested = now.since(s.ended).ms() >= s.took * (1.0 / limit - 1.0).max(0.0) && now >= s.rest_until;
+        let rested = now.since(s.ended).ms() >= s.took * (1.0 / limit - 1.0).max(0.0);
+        rested && f64::from(s.at_work()) + 1.0 <= (limit * self.warmth(s, now)).max(1.0)
+    }
+
+    /// Whether this request would bring a cold server over its share of what warm ones were sent lately, or
+    /// over what the settings allow next to what they were sent in the window that the settings name: the
+    /// memory of a load that has ended, or has moved off the warm ones, reaches further back than that.
+    /// A blind balancer's own sends are too few to tell a share, which it keeps by chance (`passes`); what
+    /// the settings allow binds it too, but for a request of mean work and the one that goes over that, as
+    /// chance is not even.
+    fn over_cold_share(&self, now: Time, s: &Server, ask: &Pick) -> bool {
         let warmth = self.warmth(s, now);
-        let share = || warmth * self.warm_sent.now(now);
         let owed = || s.try_by.is_some_and(|by| now >= by);
-        let cold = warmth < 1.0 && self.warm() > 0 && s.cold_sent.now(now) + work > share() && !owed();
-        rested && !cold && f64::from(s.at_work()) + 1.0 <= (limit * warmth).max(1.0)
+        if warmth >= 1.0 || self.warm() == 0 || owed() {
+            return false;
+        }
+        let window = self.settings.fall_after;
+        let sent = s.cold_window.as_ref().map_or(0.0, |sum| sum.at_most(now, window));
+        let allowed =
+            self.settings.overload_factor.max(1.0) * warmth * self.warm_window.at_least(now, window);
+        if self.blind {
+            return sent > allowed + ask.mean_work;
+        }
+        sent + ask.work > allowed || s.cold_sent.now(now) + ask.work > warmth * self.warm_sent.now(now)
     }
 
     /// Fresh uniform draws from the servers that are ready for the request, and the remembered ones that are.
@@ -545,8 +573,9 @@
     /// The candidate with the least own load: requests in flight, scaled by what the machine costs (how slow
     /// it has shown itself, a priced crossing, a warm key). Ties fall by its report; a coin is last.
     ///
-    /// A blind balancer compares the plain counts, and the coin is weighed by what each candidate can bear.
-    /// As the last choice is among the candidates, the choices of all together settle in proportion to that.
+    /// A blind balancer compares the counts, that of a cold server over the capacity that it surely has, and
+    /// the coin is weighed by what each candidate can bear. As the last choice is among the candidates, the
+    /// choices of all together settle in proportion to that.
     fn lightest(&mut self, now: Time, candidates: &[usize], pick: &Pick) -> Option<usize> {
         let away = (1.0 + 100.0 * AWAY * self.settings.prices.cross_zone).clamp(1.0, AWAY_MOST);
         let (blind, asks) = (self.blind, self.asks());
@@ -557,7 +586,8 @@
             let report = s.reported + f64::from(s.sent_since);
             let key = if blind {
                 let told = if asks { report.round() as i64 } else { 0 };
-                (i64::from(s.in_flight), told, (-(1.0 - coin).ln() / self.bears(s, now)).to_bits())
+                let full = f64::from(s.in_flight) / self.warmth(s, now).max(LEAST_WARMTH);
+                (full.round() as i64, told, (-(1.0 - coin).ln() / self.bears(s, now)).to_bits())
             } else {
                 let far = match s.listed.zone {
                     zone if zone == self.settings.zone => 1.0,
--- a/src/records.rs
+++ b/src/records.rs
@@ -2,6 +2,7 @@
 
 use crate::api::*;
 use crate::index::*;
+use crate::recent::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -35,30 +36,14 @@
     pub(crate) until: Time,
 }
 
-/// A sum whose parts fade with time.
-#[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Fading {
-    sum: f64,
-    over_ms: f64,
-    at: Time,
-}
-
-impl Fading {
-    pub(crate) fn now(&self, now: Time) -> f64 {
-        self.sum * (-now.since(self.at).ms() / self.over_ms.max(1.0)).exp()
-    }
-
-    pub(crate) fn add(&mut self, now: Time, over_ms: f64, part: f64) {
-        *self = Fading { sum: self.now(now) + part, over_ms, at: now };
-    }
-}
-
 /// What a pick must know of its request.
 pub(crate) struct Pick {
     pub(crate) id: RequestId,
     pub(crate) class: usize,
     pub(crate) reach: Reach,
     pub(crate) work: f64,
+    /// What requests of its class take on average, on the same scale.
+    pub(crate) mean_work: f64,
     /// How much its work weighs a machine's slowness.
     pub(crate) heavy: f64,
     pub(crate) safe: bool,
@@ -179,6 +164,8 @@
     pub(crate) try_by: Option<Time>,
     /// Work sent to it while it was cold.
     pub(crate) cold_sent: Fading,
+    /// The same over `fall_after`; few servers are cold.
+    pub(crate) cold_window: Option<Box<Windowed>>,
     /// Load by the last report, and sends since.
     pub(crate) reported: f64,
     pub(crate) reported_at: Option<Time>,
@@ -211,6 +198,7 @@
             returned: None,
             try_by: None,
             cold_sent: Fading::default(),
+            cold_window: None,
             reported: 0.0,
             reported_at: None,
             sent_since: 0,
@@ -389,6 +377,8 @@
     pub(crate) settled: Time,
     /// The work that each warm server was sent on average.
     pub(crate) warm_sent: Fading,
+    /// The same over `fall_after`.
+    pub(crate) warm_window: Windowed,
     /// The most servers that were serving at a time.
     pub(crate) most: usize,
     /// With more balancers than servers, most of a server's load is other balancers' and own counts are
@@ -428,6 +418,8 @@
     /// Traffic of the last seconds by class and by tenant.
     pub(crate) asked: Vec<f64>,
     pub(crate) tenant_asked: Vec<f64>,
+    /// What the hints of each class say on average.
+    pub(crate) mean_hints: Vec<MeanHint>,
     pub(crate) counted_at: Time,
     /// Classes that are refused last.
     pub(crate) spared: Vec<bool>,
@@ -489,6 +481,7 @@
             warming: Dues::default(),
             settled: Time(0),
             warm_sent: Fading::default(),
+            warm_window: Windowed::default(),
             most: 0,
             blind: false,
             warm_keys: BTreeMap::new(),
@@ -497,6 +490,7 @@
             usual_wait: vec![(Span::ZERO, 0); classes],
             asked: vec![0.0; classes],
             tenant_asked: vec![0.0; settings.tenants.len()],
+            mean_hints: vec![MeanHint::default(); classes],
             counted_at: Time(0),
             spared: vec![false; classes],
             median: 0.2,
@@ -528,12 +522,15 @@
 }
 
 impl Balancer {
-    /// Keeps the traffic of the last seconds by class and by tenant.
+    /// Keeps the traffic of the last seconds by class and by tenant, and what hints say.
     pub(crate) fn count(&mut self, now: Time, request: &Request) {
         let keep = (-now.since(self.counted_at).ms() / COUNT_MS).exp();
         self.counted_at = now;
         self.asked.iter_mut().chain(&mut self.tenant_asked).for_each(|n| *n *= keep);
         self.asked[request.class.0] += 1.0;
+        if let Some(hint) = request.cost_hint {
+            self.mean_hints[request.class.0].add(hint);
+        }
         if let Some(n) = request.tenant.and_then(|t| self.tenant_asked.get_mut(t.0)) {
             *n += 1.0;
         }
@@ -565,7 +562,8 @@
     /// sense is left out.
     pub(crate) fn take_over(&mut self, now: Time, lessons: Lessons, within: &Bounds) {
         let sane = |x: f64| x.is_finite() && x > 0.0;
-        let over = 0.5 * self.settings.fall_after.ms();
+        let window = self.settings.fall_after;
+        let over = 0.5 * window.ms();
         if sane(lessons.level) {
             self.level = lessons.level.clamp(within.level_least, 1.0);
         }
@@ -577,6 +575,7 @@
         }
         if sane(lessons.warm_sent) {
             self.warm_sent.add(now, over, lessons.warm_sent);
+            self.warm_window.add(now, window, lessons.warm_sent);
         }
         for lesson in lessons.servers {
             let Some(&i) = self.index.get(&lesson.server) else { continue };
@@ -591,6 +590,7 @@
             s.samples = lesson.samples;
             if sane(lesson.cold_sent) {
                 s.cold_sent.add(now, over, lesson.cold_sent);
+                s.cold_window.get_or_insert_default().add(now, window, lesson.cold_sent);
             }
             if lesson.suspect && !self.blind {
                 let pause = within.trial_pause;
@@ -852,9 +852,16 @@
         s.uploading += u32::from(uploading);
         s.sent_since += 1;
         s.idle = if kept { s.idle - 1 } else { 0 };
-        let share = pick.work / warm.max(1) as f64;
-        let (sent, work) = if cold { (&mut s.cold_sent, pick.work) } else { (&mut self.warm_sent, share) };
-        sent.add(now, 0.5 * self.settings.fall_after.ms(), work);
+        let window = self.settings.fall_after;
+        if cold {
+            s.cold_sent.add(now, 0.5 * window.ms(), pick.work);
+            s.cold_window.get_or_insert_default().add(now, window, pick.work);
+        } else {
+            s.cold_window = None;
+            let share = pick.work / warm.max(1) as f64;
+            self.warm_sent.add(now, 0.5 * window.ms(), share);
+            self.warm_window.add(now, window, share);
+        }
         s.try_by = None;
         self.untried.set(server, None);
         let trial = s.suspicion.is_some();
@@ -887,7 +894,8 @@
             id: live.request.id,
             class,
             reach: self.lawful(live, now).send,
-            work: self.work(live),
+            work: live.request.cost_hint.map_or_else(|| self.mean_work(class), Span::ms),
+            mean_work: self.mean_work(class),
             heavy: (self.work(live) / self.usual(class)).clamp(1.0, 9.0).sqrt(),
             safe: self.settings.classes[class].effect == Effect::Idempotent,
             key,
@@ -920,6 +928,12 @@
         live.request.cost_hint.map_or_else(|| self.usual(live.request.class.0), Span::ms)
     }
 
+    /// The mean work of a class's requests on the scale of their hints, where the class has any: answer times are another,
+    /// and work sent to cold servers is compared with work sent to warm ones.
+    fn mean_work(&self, class: usize) -> f64 {
+        self.mean_hints[class].get().unwrap_or_else(|| self.usual(class))
+    }
+
     /// What a balancer that takes over from this one should know: of a large fleet the servers that most is known of.
     pub fn lessons(&self, now: Time) -> Lessons {
         let mut told: Vec<&Server> = self.servers.iter().filter(|s| s.open).collect();
--- a/tests/cold_server_not_pushed_over.rs
+++ b/tests/cold_server_not_pushed_over.rs
@@ -2,6 +2,7 @@
 mod common;
 use common::*;
 use micasail::*;
+use std::collections::BTreeMap;
 
 fn settings() -> Settings {
     Settings {
@@ -110,3 +111,161 @@
     }
     assert_eq!(actions.iter().filter(|a| matches!(a, Action::Send { .. })).count(), 4);
 }
+
+/// An attempt that its server is busy with.
+struct Busy {
+    until: Time,
+    request: RequestId,
+    attempt: u32,
+    server: ServerId,
+}
+
+/// Requests that come `gap_ms` apart; each attempt is answered well after `busy_ms`, unless its server is silent.
+struct Load {
+    gap_ms: f64,
+    busy_ms: f64,
+    hint: fn(u64) -> Option<Span>,
+    silent: fn(ServerId) -> bool,
+    requests: u64,
+    busy: Vec<Busy>,
+    attempts: BTreeMap<RequestId, u32>,
+    /// Attempts by server.
+    sent: BTreeMap<ServerId, u32>,
+}
+
+impl Load {
+    /// No server is silent, and no request says what it costs.
+    fn new(gap_ms: f64, busy_ms: f64) -> Self {
+        Load {
+            gap_ms,
+            busy_ms,
+            hint: |_| None,
+            silent: |_| false,
+            requests: 0,
+            busy: Vec::new(),
+            attempts: BTreeMap::new(),
+            sent: BTreeMap::new(),
+        }
+    }
+
+    /// Plays so many requests more and counts their attempts anew.
+    fn play(&mut self, rig: &mut Rig, requests: u64) {
+        self.sent.clear();
+        for number in self.requests..self.requests + requests {
+            let mut request = Request::new(RequestId(number), ClassId(0), rig.deadline(0));
+            request.cost_hint = (self.hint)(number);
+            let actions = rig.tell(Event::Request(request)).to_vec();
+            self.take(rig.now, actions);
+            self.go_on(rig);
+        }
+        self.requests += requests;
+    }
+
+    /// Lets what is out end; the rules must have held.
+    fn end(&mut self, rig: &mut Rig) {
+        let end = rig.now + rig.deadline(0) + Span::from_ms(100.0);
+        while rig.now < end {
+            self.go_on(rig);
+        }
+        rig.assert_rules();
+    }
+
+    fn go_on(&mut self, rig: &mut Rig) {
+        let actions = rig.wait(Span::from_ms(self.gap_ms));
+        self.take(rig.now, actions);
+        while let Some(i) = self.busy.iter().position(|busy| busy.until <= rig.now) {
+            let Busy { request, attempt, server, .. } = self.busy.swap_remove(i);
+            let outcome = if (self.silent)(server) { Outcome::TimedOut } else { Outcome::Success };
+            let actions = rig.answer(request, attempt, outcome, self.busy_ms).to_vec();
+            self.take(rig.now, actions);
+        }
+    }
+
+    fn take(&mut self, now: Time, actions: Vec<Action>) {
+        for action in actions {
+            let Action::Send { request, server, timeout_at } = action else { continue };
+            let attempts = self.attempts.entry(request).or_default();
+            let until = if (self.silent)(server) { timeout_at } else { now + Span::from_ms(self.busy_ms) };
+            self.busy.push(Busy { until, request, attempt: *attempts, server });
+            *attempts += 1;
+            *self.sent.entry(server).or_default() += 1;
+        }
+    }
+
+    fn sent_to(&self, server: u32) -> f64 {
+        f64::from(self.sent.get(&ServerId(server)).copied().unwrap_or(0))
+    }
+}
+
+/// Every request does the same work, but only half of them say so, and answers take an eighth of what the hints say.
+#[test]
+fn requests_without_a_hint_weigh_as_much_as_those_with_one() {
+    let mut rig = Rig::new(settings(), 4);
+    let mut lines = fleet(3, 1, 1);
+    rig.list(lines.clone());
+    let hint = |number| (number % 2 == 0).then_some(Span::from_ms(40.0));
+    let mut load = Load { hint, ..Load::new(2.0, 5.0) };
+    load.play(&mut rig, 1000);
+    lines[2].started = Some(rig.now);
+    rig.list(lines);
+    load.play(&mut rig, 500);
+    load.play(&mut rig, 750);
+    let (warm, cold) = ((load.sent_to(0) + load.sent_to(1)) / 2.0, load.sent_to(2));
+    // Over these 1.5 s it has grown from 0.28 to 0.4 of its capacity.
+    assert!(cold <= 0.45 * warm, "cold {cold}, a warm one {warm}");
+    assert!(cold >= 0.15 * warm, "cold {cold}, a warm one {warm}");
+    load.end(&mut rig);
+}
+
+/// With more balancers than servers limits per server bind nothing; the own counts must leave a cold one its part.
+#[test]
+fn many_own_requests_do_not_crowd_the_cold_servers_of_a_blind_balancer() {
+    let mut rig = Rig::new(Settings { balancers: 7, ..settings() }, 4);
+    let start = rig.now;
+    let lines = fleet(6, 1, 1).into_iter();
+    rig.list(lines.map(|l| Listed { started: (l.server.0 > 0).then_some(start), ..l }).collect());
+    // Some 60 are out at a time, ten a server.
+    let mut load = Load::new(2.0, 120.0);
+    load.play(&mut rig, 1000);
+    let warm = load.sent_to(0);
+    for server in 1..6 {
+        let cold = load.sent_to(server);
+        // Over these 2 s it has grown from 0.2 to 0.36 of its capacity.
+        assert!(cold <= 0.5 * warm, "server {server}: cold {cold}, the warm one {warm}");
+        assert!(cold >= 0.1 * warm, "server {server}: cold {cold}, the warm one {warm}");
+    }
+    load.end(&mut rig);
+}
+
+/// What warm servers were sent before the window that the settings name allows a cold server nothing.
+#[test]
+fn a_cold_server_does_not_get_the_share_of_a_load_that_has_ended() {
+    let mut rig = Rig::new(Settings { balancers: 1, ..settings() }, 4);
+    let mut lines = fleet(2, 1, 1);
+    rig.list(lines[..1].to_vec());
+    let mut load = Load::new(2.0, 5.0);
+    load.play(&mut rig, 1000);
+    // The warm server falls silent as the cold one comes.
+    lines[1].started = Some(rig.now);
+    rig.list(lines);
+    load.silent = |server| server == ServerId(0);
+    load.play(&mut rig, 750);
+    let cold = load.sent_to(1);
+    assert!(cold >= 20.0, "it stands in while the load that has ended is in the window: {cold}");
+    load.play(&mut rig, 250);
+    load.end(&mut rig);
+}
+
+/// Of two servers each pick of a blind balancer draws both, so that its chances hold back nothing of what the warm one
+/// does not answer.
+#[test]
+fn a_blind_balancer_does_not_send_a_cold_server_all_that_the_warm_one_leaves() {
+    let mut rig = Rig::new(Settings { balancers: 3, ..settings() }, 4);
+    let mut lines = fleet(2, 1, 1);
+    lines[1].started = Some(rig.now);
+    rig.list(lines);
+    let mut load = Load { silent: |server| server == ServerId(0), ..Load::new(5.0, 5.0) };
+    load.play(&mut rig, 600);
+    assert!(load.sent_to(1) >= 30.0, "but its part: {:?}", load.sent);
+    load.end(&mut rig);
+}
