--- a/agent/src/staff/operator.rs
+++ b/agent/src/staff/operator.rs
@@ -3,17 +3,20 @@
 
 use super::words::Staff;
 use serde::Serialize;
+use std::cell::Cell;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::task::JoinHandle;
+use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
+use tokio::task::yield_now;
 use tokio::time::{sleep, timeout};
 
-/// Connections that are held at a time. One more closes the oldest: a call is answered as it comes, so an old one
-/// has no whole call yet.
+/// Connections that are held at a time. One more has the oldest end that has its answer or no whole call yet; where all
+/// are being answered it waits for the first that is done.
 const CALLERS_MOST: usize = 32;
 /// Descriptors that are set aside for them, for the listener and for one that is just being accepted.
 pub const SOCKETS: usize = CALLERS_MOST + 2;
@@ -27,6 +30,74 @@
     "health, counters, renderers, zones, cordon ID, uncordon ID, zone leave NAME, zone return NAME";
 /// Pause after a bind or an accept that failed.
 const PAUSE: Duration = Duration::from_millis(100);
+/// What is read away at a time after the answer.
+const DISCARDED_PIECE: usize = 4 << 10;
+
+/// How far a caller has come.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Stage {
+    /// Its call is not whole.
+    Reading,
+    /// Its answer is being written, and is never cut short for another caller.
+    Answering,
+    /// Its answer is written, and it has still to end its own side.
+    Closing,
+}
+
+/// A caller as the listener sees it.
+struct Held {
+    stage: Rc<Cell<Stage>>,
+    /// Says that its place is needed.
+    leave: watch::Sender<bool>,
+}
+
+/// The same caller as its own task sees it.
+struct Caller {
+    stage: Rc<Cell<Stage>>,
+    leave: watch::Receiver<bool>,
+    _place: OwnedSemaphorePermit,
+}
+
+/// The callers that are held, the oldest first.
+struct Callers {
+    places: Arc<Semaphore>,
+    held: VecDeque<Held>,
+}
+
+impl Callers {
+    fn new() -> Self {
+        Callers { places: Arc::new(Semaphore::new(CALLERS_MOST)), held: VecDeque::new() }
+    }
+
+    /// A place for one more, as soon as there is one.
+    async fn admit(&mut self) -> Option<Caller> {
+        self.held.retain(|held| !held.leave.is_closed());
+        if self.places.available_permits() == 0 {
+            self.tell_oldest_to_leave();
+        }
+        let place = self.places.clone().acquire_owned().await.ok()?;
+        let stage = Rc::new(Cell::new(Stage::Reading));
+        let (leave, told) = watch::channel(false);
+        self.held.push_back(Held { stage: stage.clone(), leave });
+        Some(Caller { stage, leave: told, _place: place })
+    }
+
+    fn tell_oldest_to_leave(&mut self) {
+        let oldest = |stage| self.held.iter().position(|held| held.stage.get() == stage);
+        let oldest = oldest(Stage::Closing).or_else(|| oldest(Stage::Reading));
+        if let Some(held) = oldest.and_then(|oldest| self.held.remove(oldest)) {
+            held.leave.send_replace(true);
+        }
+    }
+}
+
+impl Caller {
+    /// Ends when its place is needed.
+    async fn told_to_leave(&mut self) {
+        // The listener lasts as long as the process, and tells each caller before it forgets it.
+        let _ = self.leave.wait_for(|leave| *leave).await;
+    }
+}
 
 /// Listens there for as long as the agent runs. An address that is not to be had costs no client its service: it is
 /// asked for again until it is.
@@ -44,39 +115,59 @@
         sleep(PAUSE).await;
     };
     tracing::info!(target: "staff", "answers on {}", listener.local_addr().unwrap_or(address));
-    let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
+    let mut callers = Callers::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(PAUSE).await;
             continue;
         };
-        callers.retain(|caller| !caller.is_finished());
-        if callers.len() >= CALLERS_MOST {
-            callers.pop_front().inspect(|oldest| oldest.abort());
-        }
-        callers.push_back(tokio::task::spawn_local(caller(staff.clone(), stream)));
+        let Some(caller) = callers.admit().await else { return };
+        tokio::task::spawn_local(converse(staff.clone(), stream, caller));
     }
 }
 
-async fn caller(staff: Rc<Staff>, mut stream: TcpStream) {
-    let answer = match timeout(LINE_WAIT, line(&mut stream)).await {
-        Ok(Some(Ok(call))) => answer(&staff, &call),
-        Ok(Some(Err(why))) => format!("error {why}\n"),
-        Ok(None) => return,
-        Err(_) => "error no whole line in time\n".to_owned(),
+/// Reads one call and answers it.
+async fn converse(staff: Rc<Staff>, mut stream: TcpStream, mut caller: Caller) {
+    let crowded_out = async {
+        caller.told_to_leave().await;
+        // The runtime may not have heard yet of what has come: a call that is whole by now is answered.
+        yield_now().await;
+    };
+    let answer = tokio::select! {
+        biased;
+        call = timeout(LINE_WAIT, line(&mut stream)) => match call {
+            Ok(Some(Ok(call))) => answer(&staff, &call),
+            Ok(Some(Err(why))) => format!("error {why}\n"),
+            Ok(None) => return,
+            Err(_) => "error no whole line in time\n".to_owned(),
+        },
+        () = crowded_out => "error too many callers\n".to_owned(),
     };
     // A caller that has gone hears nothing; one that sends on is read to its end, or the close would take the
     // answer back from it.
     let _ = timeout(ANSWER_WAIT, async {
+        caller.stage.set(Stage::Answering);
         stream.write_all(answer.as_bytes()).await?;
         stream.shutdown().await?;
-        let mut rest = [0; 256];
-        while stream.read(&mut rest).await? > 0 {}
-        std::io::Result::Ok(())
+        caller.stage.set(Stage::Closing);
+        tokio::select! {
+            biased;
+            ended = discard(&mut stream) => ended,
+            () = caller.told_to_leave() => Ok(()),
+        }
     })
     .await;
 }
 
+/// Reads away what a caller sends after its call, in turn with everything else that the process does.
+async fn discard(stream: &mut TcpStream) -> std::io::Result<()> {
+    let mut rest = [0; DISCARDED_PIECE];
+    while stream.read(&mut rest).await? > 0 {
+        yield_now().await;
+    }
+    Ok(())
+}
+
 /// The one line of a connection, without its end; `None` if its caller left without a word.
 async fn line(stream: &mut TcpStream) -> Option<Result<String, &'static str>> {
     let mut bytes = Vec::new();
--- a/agent/tests/operator.rs
+++ b/agent/tests/operator.rs
@@ -3,9 +3,18 @@
 mod common;
 use common::*;
 use serde_json::{json, Value};
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
+use tokio::process::Command;
+use tokio::sync::Notify;
+
+/// Callers that are there at a time.
+const CROWD: usize = 1000;
+/// Callers that wait in the queue of a listener that accepts none, and fit in there.
+const QUEUED: usize = 120;
+const TOO_MANY: &str = "error too many callers\n";
 
 async fn operated(hosts: &[Value], directory: &Directory) -> Agent {
     let mut config = config(directory.address, hosts);
@@ -202,3 +211,116 @@
     assert_eq!(agent.call("zone return b").await, "done\n");
     soon("the return", async { while agent.get("/read").await.body != b"far" {} }).await;
 }
+
+/// Stops the process or has it go on.
+async fn signal(agent: &Agent, signal: &str) {
+    let id = agent.child.id().expect("it runs").to_string();
+    assert!(Command::new("kill").args([signal, &id]).status().await.expect("kill runs").success());
+}
+
+/// All that is said to a caller, also where the connection ends with a reset behind it.
+async fn all_said(stream: &mut TcpStream) -> String {
+    let mut said = Vec::new();
+    let _ = soon("the connection's end", stream.read_to_end(&mut said)).await;
+    String::from_utf8(said).expect("text")
+}
+
+/// Callers whose calls have all come whole before the agent accepts the first of them: none is closed for another one's
+/// sake, and what is carried out is answered.
+#[tokio::test]
+async fn calls_that_have_come_whole_are_answered_however_many_come_at_once() {
+    let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
+    let directory = Directory::start(Mood::Mute).await;
+    let agent = operated(&[host("s", backend.address, "up")], &directory).await;
+    agent.ready().await;
+    signal(&agent, "-STOP").await;
+    let mut callers = Vec::new();
+    for n in 0..QUEUED {
+        let mut stream = agent.operator().await;
+        let call: &[u8] = if n % 2 == 0 { b"cordon s\n" } else { b"uncordon s\n" };
+        stream.write_all(call).await.expect("sent");
+        callers.push(stream);
+    }
+    signal(&agent, "-CONT").await;
+    for (n, stream) in callers.iter_mut().enumerate() {
+        assert_eq!(all_said(stream).await, "done\n", "caller {n} of {QUEUED}");
+    }
+}
+
+/// A caller is being told that its call is not whole in time, or that there are too many, while the rest of the call
+/// comes: one clear line either way, and never an end without one.
+#[tokio::test]
+async fn a_call_that_becomes_whole_as_its_place_is_needed_gets_one_line() {
+    let directory = Directory::start(Mood::Mute).await;
+    let agent = operated(&[], &directory).await;
+    let mut halves = Vec::new();
+    for _ in 0..32 {
+        let mut stream = agent.operator().await;
+        stream.write_all(b"zones").await.expect("sent");
+        halves.push(stream);
+    }
+    // One that is answered came after them, so all of them are held.
+    assert_eq!(agent.call("").await.lines().count(), 1);
+    assert_eq!(all_said(&mut halves[0]).await, TOO_MANY);
+    signal(&agent, "-STOP").await;
+    let mut newcomers = Vec::new();
+    for _ in 0..32 {
+        newcomers.push(agent.operator().await);
+    }
+    for half in &mut halves[1..] {
+        half.write_all(b"\n").await.expect("sent");
+    }
+    signal(&agent, "-CONT").await;
+    for half in &mut halves[1..] {
+        let said = all_said(half).await;
+        assert!(said.ends_with("end\n"), "{said}");
+    }
+}
+
+/// Lines without end, half calls that are held open and callers that send nothing, all at once: each is told one clear
+/// line, and the application's requests are answered meanwhile.
+#[tokio::test]
+async fn a_crowd_of_callers_is_told_one_line_each_and_costs_no_request_its_time() {
+    let word = Arc::new(Notify::new());
+    let held = word.clone();
+    let backend = Backend::start(move |m| match m.head.contains("/held") {
+        true => Reply::When(held.clone(), ok("held")),
+        false => Reply::Bytes(ok("x")),
+    })
+    .await;
+    let directory = Directory::start(Mood::Mute).await;
+    let agent = operated(&[host("s", backend.address, "up")], &directory).await;
+    agent.ready().await;
+    let mut waits = agent.client().await;
+    waits.send(&request("GET", "/read/held", "20000m", "")).await;
+    let mut callers = Vec::new();
+    for n in 0..CROWD {
+        let mut stream = agent.operator().await;
+        callers.push(tokio::spawn(async move {
+            match n % 3 {
+                0 => drop(stream.write_all(b"cordon s").await),
+                1 => {}
+                _ => {
+                    let (mut read, mut write) = stream.split();
+                    let mut said = Vec::new();
+                    let endless = async { while write.write_all(&[b'x'; 8192]).await.is_ok() {} };
+                    let listens = soon("the connection's end", read.read_to_end(&mut said));
+                    let _ = tokio::join!(endless, listens);
+                    return String::from_utf8(said).expect("text");
+                }
+            }
+            all_said(&mut stream).await
+        }));
+        if n % 50 == 0 {
+            assert_eq!(agent.get("/read").await.status(), 200, "beside {n} callers");
+        }
+    }
+    word.notify_one();
+    assert_eq!(waits.answer().await.status(), 200);
+    for (n, caller) in callers.into_iter().enumerate() {
+        let said = caller.await.expect("no panic");
+        let expected = [TOO_MANY, "error the line is too long\n", "error no whole line in time\n"];
+        assert!(expected.contains(&said.as_str()), "caller {n} was told {said:?}");
+    }
+    assert_eq!(agent.counters().await["cluster_unhealthy"], 0, "half a call was carried out");
+}
