--- a/agent/src/traffic/body.rs
+++ b/agent/src/traffic/body.rs
@@ -278,7 +278,9 @@
         let read = first.len() as u64;
         let length = body.size_hint().exact().map(|rest| read + rest);
         let late = Box::pin(sleep_until(patience.due()));
-        let reading = Reading { first, body, patience, read, paused: None, late };
+        // Until an attempt asks for more, that nothing comes is not the client's doing.
+        let paused = Some(patience.last());
+        let reading = Reading { first, body, patience, read, paused, late };
         Rc::new(Intake {
             length,
             coming: watch::Sender::new(Coming::More),
--- a/agent/src/traffic/pace.rs
+++ b/agent/src/traffic/pace.rs
@@ -141,6 +141,11 @@
         (self.free + self.earned).min(self.last + GAP_MOST).max(self.free)
     }
 
+    /// When the last of it came, or its head if nothing has.
+    pub fn last(&self) -> Instant {
+        self.last
+    }
+
     /// Nobody has asked for it for this long.
     pub fn paused(&mut self, span: Duration) {
         self.free += span;
--- a/agent/tests/bulk.rs
+++ b/agent/tests/bulk.rs
@@ -439,3 +439,30 @@
     assert_eq!(clients.len(), 40);
     assert!(held_most(&agent) < 32 << 10, "{} kB held", held_most(&agent));
 }
+
+/// A client is not late for what nobody has asked it for: while the connection to the renderer comes up, its body stands
+/// still on the agent's account, and it has its whole patience for when the word to send comes.
+#[tokio::test]
+async fn a_body_that_nobody_has_asked_for_is_not_late() {
+    /// Past the time that a body has before its rate counts.
+    const PAST_PATIENCE: Duration = Duration::from_millis(3200);
+    let choked = Choked::start().await;
+    let directory = Directory::start(Mood::Mute).await;
+    let mut config = config(directory.address, &[host("s", choked.address, "up")]);
+    config["settings"]["limits"]["connectTimeoutMs"] = 20_000.into();
+    let agent = Agent::with(config, |_| {}).await;
+    let sent = body(300_000);
+    let mut client = agent.client().await;
+    let framing = format!("Content-Length: {}\r\nExpect: 100-continue", sent.len());
+    client.send(&post("/pay", "60000m", &framing)).await;
+    tokio::time::sleep(PAST_PATIENCE).await;
+    let mut renderer = choked.next().await;
+    let mut told = [0; 25];
+    soon("the word to send", client.stream.read_exact(&mut told)).await.expect("bytes");
+    assert_eq!(&told, b"HTTP/1.1 100 Continue\r\n\r\n");
+    client.stream.write_all(&sent).await.expect("the agent reads");
+    let message = soon("the request", read_message(&mut renderer, 0)).await.expect("a whole request");
+    assert!(message.body == sent, "{} bytes of {}", message.body.len(), sent.len());
+    renderer.write_all(&ok("thanks")).await.expect("the agent reads");
+    assert_eq!(client.answer().await.status(), 200);
+}
