--- a/agent/src/application/server.rs
+++ b/agent/src/application/server.rs
@@ -4,6 +4,7 @@
 use crate::driver::Driver;
 use crate::renderers::upstream::{forwarded, Served};
 use crate::traffic::body::{Hold, Intake, Reply, Unread, BUFFER, KEPT_MOST, REQUEST_MOST};
+use crate::traffic::lingering::Lingering;
 use crate::traffic::pace::{Asked, Pace, Patience, Timed};
 use crate::traffic::socket::Socket;
 use bytes::BytesMut;
@@ -61,6 +62,7 @@
     /// What comes from now on has to be answered by then, whatever its client would wait.
     last: Cell<Option<Instant>>,
     places: std::sync::Arc<Semaphore>,
+    lingering: Lingering,
 }
 
 impl Server {
@@ -72,6 +74,7 @@
             open: Cell::new(0),
             last: Cell::new(None),
             places: std::sync::Arc::new(Semaphore::new(connections)),
+            lingering: Lingering::default(),
         })
     }
 
@@ -81,7 +84,7 @@
         let mut stay = self.stay.subscribe();
         let taken = async {
             loop {
-                let Ok(place) = self.places.clone().acquire_owned().await else { return };
+                let Some(place) = self.place().await else { return };
                 match listener.accept().await {
                     Ok((stream, _)) => self.serve(stream, place),
                     Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
@@ -94,7 +97,7 @@
         }
         // What the system has accepted is the agent's, and would be reset with the listener.
         let Ok(listener) = listener.into_std() else { return };
-        while let Ok(place) = self.places.clone().acquire_owned().await {
+        while let Some(place) = self.place().await {
             let Ok((stream, _)) = listener.accept() else { return };
             if let Ok(stream) = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
                 self.serve(stream, place);
@@ -102,6 +105,19 @@
         }
     }
 
+    /// A place for one more connection. While all are taken, the connections that have been ended and linger give
+    /// theirs up, one after the other.
+    async fn place(&self) -> Option<OwnedSemaphorePermit> {
+        let mut place = pin!(self.places.clone().acquire_owned());
+        loop {
+            tokio::select! {
+                biased;
+                place = place.as_mut() => return place.ok(),
+                () = self.lingering.cut_oldest() => {}
+            }
+        }
+    }
+
     fn serve(self: &Rc<Self>, stream: TcpStream, place: OwnedSemaphorePermit) {
         tokio::task::spawn_local(self.clone().connection(stream, place));
     }
@@ -138,7 +154,7 @@
         let _open = Counted::one(&self.open);
         let socket = Socket::new(stream);
         self.clone().converse(&socket).await;
-        socket.part().await;
+        self.lingering.close(socket).await;
     }
 
     /// Answers what comes over a connection until it is to be closed.
