--- a/agent/src/log.rs
+++ b/agent/src/log.rs
@@ -28,6 +28,8 @@
 const WAITING_MOST: usize = 1024;
 /// How long the end of the process waits for its last lines to be taken.
 const LAST_WORDS: Duration = Duration::from_millis(200);
+/// Pause of the log's thread before it tries again where its reader has no room.
+const FULL_PAUSE: Duration = Duration::from_millis(5);
 /// How often the counts are written.
 const PERIOD: Duration = Duration::from_secs(5);
 
@@ -76,7 +78,10 @@
             for line in lines {
                 match line {
                     // A log that nobody takes must not end the agent.
-                    Line::Text(text) => drop(io::stderr().write_all(&text)),
+                    Line::Text(text) if write_whole(&mut io::stderr(), &text).is_err() => {
+                        LEFT_OUT.fetch_add(1, Relaxed);
+                    }
+                    Line::Text(_) => {}
                     Line::Last(told) => drop(told.send(())),
                 }
             }
@@ -95,6 +100,20 @@
     }
 }
 
+/// Writes a line whole. Whoever shares the descriptor may have made it one that does not wait: then this does.
+fn write_whole(to: &mut impl Write, mut text: &[u8]) -> io::Result<()> {
+    while !text.is_empty() {
+        match to.write(text) {
+            Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
+            Ok(written) => text = &text[written..],
+            Err(why) if why.kind() == io::ErrorKind::WouldBlock => std::thread::sleep(FULL_PAUSE),
+            Err(why) if why.kind() == io::ErrorKind::Interrupted => {}
+            Err(why) => return Err(why),
+        }
+    }
+    Ok(())
+}
+
 enum Line {
     Text(Vec<u8>),
     Last(SyncSender<()>),
--- a/agent/tests/log.rs
+++ b/agent/tests/log.rs
@@ -3,7 +3,8 @@
 mod common;
 use common::*;
 use serde_json::Value;
-use std::io::{BufRead, BufReader, Write};
+use socket2::SockRef;
+use std::io::{BufRead, BufReader, Read, Write};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::process::Child;
@@ -109,3 +110,60 @@
     let ended = tokio::time::timeout(Duration::from_secs(20), child.wait()).await.expect("its end");
     assert!(ended.expect("a status").success());
 }
+
+/// The lines of a log from here to its end.
+async fn rest(log: BufReader<std::io::PipeReader>) -> Vec<Value> {
+    let lines = tokio::task::spawn_blocking(move || {
+        let lines = log.lines().map(|line| serde_json::from_str(&line.expect("text")).expect("JSON"));
+        lines.collect::<Vec<Value>>()
+    });
+    soon("the log's end", lines).await.expect("lines")
+}
+
+async fn end(child: &mut Child) {
+    let id = child.id().expect("it runs").to_string();
+    let sent = tokio::process::Command::new("kill").args(["-TERM", &id]).status().await;
+    assert!(sent.expect("kill runs").success());
+    assert!(soon("its end", child.wait()).await.expect("a status").success());
+}
+
+/// Whoever shares the log's pipe has made it one that does not wait, and it is full as lines come: they are written whole
+/// as soon as somebody reads.
+#[tokio::test]
+async fn lines_are_whole_in_a_pipe_that_does_not_wait() {
+    const LINES: usize = 15;
+    let directory = Directory::start(Mood::Mute).await;
+    let (mut child, address, mut log, mut write) = agent(&config(directory.address, &[]), "json").await;
+    SockRef::from(&write).set_nonblocking(true).expect("a flag");
+    let mut filled = 0;
+    // Down to the last byte: what is longer than the room that is left would not be split.
+    for size in [4096, 1] {
+        while let Ok(n) = write.write(&vec![b'.'; size]) {
+            filled += n;
+        }
+    }
+    drop(write);
+    let mut client = client(address).await;
+    for _ in 0..LINES {
+        assert_eq!(client.ask("GET /none HTTP/1.1\r\nHost: a\r\n\r\n").await.status(), 404);
+    }
+    // The log's thread has come upon the full pipe by now, or will have lost nothing.
+    tokio::time::sleep(Duration::from_millis(300)).await;
+    drop(client);
+    let read = tokio::task::spawn_blocking(move || {
+        // Other lines may stand before these.
+        let mut dots = vec![0; filled];
+        let mut before = String::new();
+        while log.fill_buf().expect("bytes").first() != Some(&b'.') {
+            log.read_line(&mut before).expect("a line");
+        }
+        log.read_exact(&mut dots).expect("what fills the pipe");
+        assert!(dots.iter().all(|byte| *byte == b'.'));
+        log
+    });
+    let log = soon("what fills the pipe", read).await.expect("no panic");
+    let lines = tokio::spawn(rest(log));
+    end(&mut child).await;
+    let lines = lines.await.expect("no panic");
+    assert_eq!(lines.iter().filter(|line| line["outcome"] == "turned away").count(), LINES, "{lines:?}");
+}
