--- a/agent/src/log.rs
+++ b/agent/src/log.rs
@@ -10,7 +10,7 @@
 use micasail::{Outcome, Span};
 use std::fmt::{self, Write as _};
 use std::io::{self, Write};
-use std::sync::atomic::{AtomicU32, AtomicU64, Ordering::Relaxed};
+use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering::Relaxed};
 use std::sync::mpsc::{sync_channel, SyncSender};
 use std::sync::Arc;
 use tokio::time::{Duration, Instant};
@@ -134,6 +134,19 @@
 
 /// Lines that were left out of the log for the bound, or because nobody took them.
 static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+/// Whether the last line was taken by the log's thread.
+static LAST_TAKEN: AtomicBool = AtomicBool::new(false);
+
+/// Has a line written that tells how many were left out since the last such line. If that line is not taken either,
+/// they are told with the next one.
+fn tell_left_out(write: impl FnOnce(u64)) {
+    let left_out = LEFT_OUT.swap(0, Relaxed);
+    LAST_TAKEN.store(false, Relaxed);
+    write(left_out);
+    if !LAST_TAKEN.load(Relaxed) {
+        LEFT_OUT.fetch_add(left_out, Relaxed);
+    }
+}
 
 /// The way to the log's thread. Each line is written whole or not at all.
 #[derive(Clone)]
@@ -141,7 +154,9 @@
 
 impl Write for Lines {
     fn write(&mut self, text: &[u8]) -> io::Result<usize> {
-        if self.0.try_send(Line::Text(text.to_vec())).is_err() {
+        let taken = self.0.try_send(Line::Text(text.to_vec())).is_ok();
+        LAST_TAKEN.store(taken, Relaxed);
+        if !taken {
             LEFT_OUT.fetch_add(1, Relaxed);
         }
         Ok(text.len())
@@ -256,6 +271,10 @@
 impl Moved {
     /// Writes it, with the connections that are held and the state behind the decisions.
     pub fn write(&self, connections: usize, state: &str) {
+        tell_left_out(|left_out| self.write_with(left_out, connections, state));
+    }
+
+    fn write_with(&self, left_out: u64, connections: usize, state: &str) {
         let Moved { counts, before } = self;
         let total = |kind: fn(&Ends) -> u64| counts.total(kind) - before.total(kind);
         let (refused, unsent) = (total(|e| e.refused), counts.refused_unsent - before.refused_unsent);
@@ -271,7 +290,7 @@
             turned_away = counts.bad - before.bad,
             sent_whole = counts.sends - before.sends,
             attempts = self.attempts(),
-            left_out = LEFT_OUT.swap(0, Relaxed),
+            left_out,
             connections,
             "{state}",
         );
--- a/agent/src/log/tests.rs
+++ b/agent/src/log/tests.rs
@@ -1,7 +1,10 @@
 use super::*;
 use crate::figures::End;
 use micasail::ServerId;
-use std::sync::Mutex;
+use std::sync::{Mutex, PoisonError};
+
+/// Held by each test that looks at the lines that were left out, of which a process keeps one count.
+static COUNTED: Mutex<()> = Mutex::new(());
 
 /// Keeps what is written.
 #[derive(Clone, Default)]
@@ -44,6 +47,7 @@
 
 #[test]
 fn lines_are_bounded_within_a_second_and_counts_tell_how_the_figures_moved() {
+    let _counted = COUNTED.lock().unwrap_or_else(PoisonError::into_inner);
     let start = Instant::now();
     let mut log = Log::new(start);
     let written = (0..50).filter(|_| log.room(start)).count();
@@ -110,6 +114,33 @@
     drop(Written(queue));
 }
 
+/// The line that tells how many were left out crosses a reader that has stopped: they are told with the next that is
+/// taken, and it among them.
+#[test]
+fn lines_that_were_left_out_are_told_although_the_counts_are_not_taken() {
+    let _counted = COUNTED.lock().unwrap_or_else(PoisonError::into_inner);
+    /// More than the other tests of this process leave out beside this one.
+    const MANY: u64 = 1_000_000;
+    let (queue, lines) = sync_channel::<Line>(1);
+    let subscriber = form("", "").expect("a form").subscriber(Lines(queue), Bound::new());
+    let figures = Figures::new(1);
+    figures.bad();
+    let start = Instant::now();
+    let moved = Log::new(start).counts(start + PERIOD, &figures).expect("a line");
+    tracing::subscriber::with_default(subscriber, || {
+        tracing::info!(target: "process", "fills the queue");
+        LEFT_OUT.fetch_add(MANY, Relaxed);
+        moved.write(0, "not taken");
+        assert!(matches!(lines.try_recv(), Ok(Line::Text(text)) if text.ends_with(b"fills the queue\n")));
+        moved.write(0, "taken");
+    });
+    let Ok(Line::Text(text)) = lines.try_recv() else { panic!("no line") };
+    let text = String::from_utf8(text).expect("text");
+    let told = text.split_once("left_out=").and_then(|(_, told)| told.split(' ').next()?.parse::<u64>().ok());
+    assert!(told > Some(MANY), "{text}");
+    assert!(LEFT_OUT.load(Relaxed) < MANY, "told twice");
+}
+
 /// What a line on a request costs the core that serves: `cargo test --release -p bellcroft --lib -- --ignored
 /// --nocapture line_costs`.
 #[test]
