--- a/agent/src/log.rs
+++ b/agent/src/log.rs
@@ -124,6 +124,11 @@
 
 impl Drop for Written {
     fn drop(&mut self) {
+        tell_left_out(|left_out| {
+            if left_out > 0 {
+                tracing::info!(target: "counts", left_out, "the log ends");
+            }
+        });
         let (tell, told) = sync_channel(1);
         // With no room nobody reads, and nobody is waited for.
         if self.0.try_send(Line::Last(tell)).is_ok() {
--- a/agent/tests/log.rs
+++ b/agent/tests/log.rs
@@ -127,6 +127,41 @@
     assert!(soon("its end", child.wait()).await.expect("a status").success());
 }
 
+/// A flood of bad requests beside requests that fail, up to the end of the process: its lines are few, and with those
+/// that are told to be left out they are as many as there were.
+#[tokio::test]
+async fn each_line_of_a_flood_is_written_or_counted_up_to_the_end() {
+    const BAD: u64 = 2000;
+    const FAILED: u64 = 20;
+    let backend =
+        Backend::start(|_| Reply::Bytes(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n".to_vec())).await;
+    let directory = Directory::start(Mood::Mute).await;
+    let config = config(directory.address, &[host("s", backend.address, "up")]);
+    let (mut child, address, log, write) = agent(&config, "json").await;
+    drop(write);
+    let lines = tokio::spawn(rest(log));
+    let mut client = client(address).await;
+    let begun = std::time::Instant::now();
+    for n in 0..BAD {
+        if n % (BAD / FAILED) == 0 {
+            assert_eq!(client.ask(&request("POST", "/pay", "5000m", "")).await.status(), 502);
+        }
+        let bad = format!("GET /none HTTP/1.1\r\nHost: a\r\nX-Request-ID: {n}\r\n\r\n");
+        assert_eq!(client.ask(&bad).await.status(), 404);
+    }
+    let seconds = begun.elapsed().as_secs() as usize + 2;
+    drop(client);
+    end(&mut child).await;
+    let lines = lines.await.expect("no panic");
+    let of = |target: &str| lines.iter().filter(|line| line["target"] == target).collect::<Vec<_>>();
+    let left_out: u64 = of("counts").iter().filter_map(|line| line["left_out"].as_u64()).sum();
+    let written = of("request").len();
+    assert_eq!(written as u64 + left_out, BAD + FAILED, "{written} written");
+    assert!(written <= 20 * seconds, "{written} within {seconds} s");
+    let last = of("process").last().and_then(|line| line["message"].as_str()).unwrap_or_default();
+    assert!(last.ends_with("all is answered"), "a line of another kind is lost");
+}
+
 /// Whoever shares the log's pipe has made it one that does not wait, and it is full as lines come: they are written whole
 /// as soon as somebody reads.
 #[tokio::test]
