--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -469,7 +469,7 @@
             let over = async {
                 match &upload {
                     None => sleep_until(until).await,
-                    Some(upload) => sleep_until(upload.whole().await + wait).await,
+                    Some(upload) => upload.over(wait).await,
                 }
             };
             // Its connection may have taken a good part of the wait to come up: what is told is what is left by then.
--- a/agent/src/traffic/body.rs
+++ b/agent/src/traffic/body.rs
@@ -30,7 +30,8 @@
 const BODIES_SHARE: u64 = 2;
 const BUDGET_LEAST: u64 = 2 << 20;
 const UNIT: usize = 1 << 10;
-/// A backend that says nothing for so long in the middle of an answer will not go on.
+/// A backend that says nothing for so long in the middle of an answer, or takes nothing in the middle of a request, will
+/// not go on.
 const STALL: Duration = Duration::from_secs(30);
 
 /// Bytes of bodies that the process may hold, for each direction a half: requests that are kept must not keep answers
@@ -307,6 +308,28 @@
         }
     }
 
+    /// Ends when an attempt that begins now has had its time: this long after the last byte, or when its backend has taken
+    /// nothing for so long that it never will.
+    pub async fn over(&self, wait: Duration) {
+        tokio::select! {
+            whole = self.whole() => sleep_until(whole + wait).await,
+            () = self.stalled() => {}
+        }
+    }
+
+    /// Ends when nobody has asked for more for too long.
+    async fn stalled(&self) {
+        let begun = Instant::now();
+        loop {
+            let now = Instant::now();
+            let since = self.reading.borrow().paused.map_or(now, |paused| paused.max(begun));
+            if now >= since + STALL {
+                return;
+            }
+            sleep_until(since + STALL).await;
+        }
+    }
+
     /// Why it will not come whole, as soon as that is known.
     pub async fn broken(&self) -> Unread {
         loop {
