--- a/agent/src/staff/words.rs
+++ b/agent/src/staff/words.rs
@@ -6,7 +6,7 @@
 use crate::peers::handover::{self, Cordons, Owner, Word};
 use micasail::Time;
 use micasail_settings::Names;
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::PathBuf;
@@ -19,6 +19,8 @@
 pub struct Staff {
     driver: Rc<Driver>,
     cordons: RefCell<Cordons>,
+    /// Something was said that could not be kept for the next process.
+    unkept: Cell<bool>,
     /// Where the processes of this agent leave each other what they know.
     folder: Option<PathBuf>,
     /// Who they are, so that nobody else's is taken in.
@@ -31,7 +33,7 @@
         let Names { zones, classes, .. } = driver.names.clone();
         let owner = Owner { agent, listen, zones, classes };
         let cordons = RefCell::new(Cordons::new(folder.clone(), owner.clone()));
-        let staff = Staff { driver, cordons, folder, owner };
+        let staff = Staff { driver, cordons, unkept: Cell::new(false), folder, owner };
         staff.look();
         Rc::new(staff)
     }
@@ -97,11 +99,7 @@
         if !cordons.knows(name) && self.driver.server(name).is_none() {
             return Ok(false);
         }
-        if cordons.out(name) != out {
-            self.pass_on(name, Word { out, at: self.driver.clock.now().0 });
-            cordons.say(name, out)?;
-        }
-        Ok(true)
+        self.say(&mut cordons, name, out)
     }
 
     /// Leaves a zone for the operators, or returns to it; false if there is no such zone. An error as with cordons.
@@ -112,9 +110,20 @@
         if !cordons.knows(&key) && !self.driver.knows_zone(name) {
             return Ok(false);
         }
-        if cordons.out(&key) != out {
-            self.pass_on(&key, Word { out, at: self.driver.clock.now().0 });
-            cordons.say(&key, out)?;
+        self.say(&mut cordons, &key, out)
+    }
+
+    /// Does what has just been said and keeps it for the next process. Said once more after that has failed, it is kept
+    /// then or fails again.
+    fn say(&self, cordons: &mut Cordons, key: &str, out: bool) -> io::Result<bool> {
+        let changes = cordons.out(key) != out;
+        if changes {
+            self.pass_on(key, Word { out, at: self.driver.clock.now().0 });
+        }
+        if changes || self.unkept.get() {
+            self.unkept.set(true);
+            cordons.say(key, out)?;
+            self.unkept.set(false);
         }
         Ok(true)
     }
--- a/agent/tests/operator.rs
+++ b/agent/tests/operator.rs
@@ -324,3 +324,31 @@
     }
     assert_eq!(agent.counters().await["cluster_unhealthy"], 0, "half a call was carried out");
 }
+
+/// A word that could not be kept for the next process, and is said again: it is kept then, or the staff are told again that
+/// it is not.
+#[tokio::test]
+async fn a_cordon_that_could_not_be_kept_is_not_done_by_saying_it_again() {
+    let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
+    let directory = Directory::start(Mood::Mute).await;
+    let folder = std::env::temp_dir().join(format!("bellcroft-operator-{}", std::process::id()));
+    std::fs::create_dir(&folder).expect("a folder");
+    let mut config = config(directory.address, &[host("s", backend.address, "up")]);
+    config["operator"] = "127.0.0.1:0".into();
+    let agent = Agent::with(config, |command| {
+        command.env("TMPDIR", &folder);
+    })
+    .await;
+    std::fs::remove_dir_all(&folder).expect("removed");
+    for _ in 0..2 {
+        let said = agent.call("cordon s").await;
+        assert!(said.starts_with("error it holds in this process alone"), "{said}");
+    }
+    std::fs::create_dir(&folder).expect("a folder");
+    assert_eq!(agent.call("cordon s").await, "done\n");
+    let kept = std::fs::read_dir(&folder).expect("the folder").filter_map(Result::ok);
+    let kept = kept.filter(|file| file.file_name().to_string_lossy().ends_with("cordons.json"));
+    let words = kept.map(|file| std::fs::read_to_string(file.path()).expect("text")).collect::<String>();
+    std::fs::remove_dir_all(&folder).expect("removed");
+    assert!(words.contains("\"s\":{\"out\":true"), "{words}");
+}
