--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,7 +5,7 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 24] = [
+const LAYERS: [&str; 25] = [
     "list",
     "forms",
     "figures",
@@ -13,6 +13,7 @@
     "config/fleet",
     "config",
     "traffic/socket",
+    "traffic/lingering",
     "traffic/pace",
     "traffic/body",
     "renderers/upstream",
