--- a/agent/src/staff/operator.rs
+++ b/agent/src/staff/operator.rs
@@ -55,18 +55,23 @@
 struct Caller {
     stage: Rc<Cell<Stage>>,
     leave: watch::Receiver<bool>,
+    turn: Arc<Semaphore>,
     _place: OwnedSemaphorePermit,
 }
 
 /// The callers that are held, the oldest first.
 struct Callers {
     places: Arc<Semaphore>,
+    /// Taken by the one call that is carried out now: figures on many renderers take their time, and the requests of
+    /// the application have theirs between any two calls.
+    turn: Arc<Semaphore>,
     held: VecDeque<Held>,
 }
 
 impl Callers {
     fn new() -> Self {
-        Callers { places: Arc::new(Semaphore::new(CALLERS_MOST)), held: VecDeque::new() }
+        let (places, turn) = (Arc::new(Semaphore::new(CALLERS_MOST)), Arc::new(Semaphore::new(1)));
+        Callers { places, turn, held: VecDeque::new() }
     }
 
     /// A place for one more, as soon as there is one.
@@ -79,7 +84,7 @@
         let stage = Rc::new(Cell::new(Stage::Reading));
         let (leave, told) = watch::channel(false);
         self.held.push_back(Held { stage: stage.clone(), leave });
-        Some(Caller { stage, leave: told, _place: place })
+        Some(Caller { stage, leave: told, turn: self.turn.clone(), _place: place })
     }
 
     fn tell_oldest_to_leave(&mut self) {
@@ -97,6 +102,15 @@
         // The listener lasts as long as the process, and tells each caller before it forgets it.
         let _ = self.leave.wait_for(|leave| *leave).await;
     }
+
+    /// Carries a whole call out when it is its turn; nobody's place is needed so much that it would be cut off here.
+    async fn answer(&self, staff: &Rc<Staff>, call: &str) -> String {
+        self.stage.set(Stage::Answering);
+        let _turn = self.turn.acquire().await;
+        let answer = answer(staff, call);
+        yield_now().await;
+        answer
+    }
 }
 
 /// Listens there for as long as the agent runs. An address that is not to be had costs no client its service: it is
@@ -136,7 +150,7 @@
     let answer = tokio::select! {
         biased;
         call = timeout(LINE_WAIT, line(&mut stream)) => match call {
-            Ok(Some(Ok(call))) => answer(&staff, &call),
+            Ok(Some(Ok(call))) => caller.answer(&staff, &call).await,
             Ok(Some(Err(why))) => format!("error {why}\n"),
             Ok(None) => return,
             Err(_) => "error no whole line in time\n".to_owned(),
--- a/agent/tests/operator.rs
+++ b/agent/tests/operator.rs
@@ -352,3 +352,84 @@
     std::fs::remove_dir_all(&folder).expect("removed");
     assert!(words.contains("\"s\":{\"out\":true"), "{words}");
 }
+
+/// All renderers' answers that were counted by the time of this call.
+async fn answered(mut stream: TcpStream) -> u64 {
+    let said = all_said(&mut stream).await;
+    let figures: Value = serde_json::from_str(said.lines().next().unwrap_or_default()).expect("figures");
+    let renderers = figures["renderers"].as_array().expect("renderers");
+    renderers.iter().filter_map(|renderer| renderer["answered"].as_u64()).sum()
+}
+
+/// Callers and a request that are all there at once: the request is answered between the calls and not behind them, as the
+/// figures that the later ones are told show. Where the renderer here takes longer than all calls together nothing is
+/// shown, and it is played again.
+#[tokio::test]
+async fn a_request_is_served_between_the_calls_of_a_crowd() {
+    const RENDERERS: usize = 1000;
+    const CALLERS: usize = 30;
+    let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
+    let directory = Directory::start(Mood::Mute).await;
+    let names: Vec<String> = (0..RENDERERS).map(|n| format!("s{n}")).collect();
+    let hosts: Vec<Value> = names.iter().map(|name| host(name, backend.address, "up")).collect();
+    let agent = operated(&hosts, &directory).await;
+    agent.ready().await;
+    for before in 0..10 {
+        signal(&agent, "-STOP").await;
+        let mut callers = Vec::new();
+        for _ in 0..CALLERS {
+            let mut stream = agent.operator().await;
+            stream.write_all(b"renderers\n").await.expect("sent");
+            callers.push(tokio::spawn(answered(stream)));
+        }
+        let mut client = agent.client().await;
+        client.send(&request("GET", "/read", "20000m", "")).await;
+        signal(&agent, "-CONT").await;
+        assert_eq!(client.answer().await.status(), 200);
+        let mut told = Vec::new();
+        for caller in callers {
+            told.push(caller.await.expect("no panic"));
+        }
+        if told.iter().any(|told| *told > before) {
+            return;
+        }
+    }
+    panic!("ten times a request was answered behind all calls");
+}
+
+/// What whole calls of a crowd cost the requests beside them: `cargo test --release -p bellcroft --test operator --
+/// --ignored --nocapture calls_cost`.
+#[tokio::test]
+#[ignore = "a measurement"]
+async fn what_a_crowd_of_calls_costs() {
+    const RENDERERS: usize = 1000;
+    let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
+    let directory = Directory::start(Mood::Mute).await;
+    let names: Vec<String> = (0..RENDERERS).map(|n| format!("s{n}")).collect();
+    let hosts: Vec<Value> = names.iter().map(|name| host(name, backend.address, "up")).collect();
+    let agent = operated(&hosts, &directory).await;
+    agent.ready().await;
+    for call in ["", "health", "counters", "renderers"] {
+        let mut callers = Vec::new();
+        for _ in 0..CROWD * usize::from(!call.is_empty()) {
+            let (mut stream, call) = (agent.operator().await, format!("{call}\n"));
+            callers.push(tokio::spawn(async move {
+                stream.write_all(call.as_bytes()).await.expect("sent");
+                all_said(&mut stream).await.len()
+            }));
+        }
+        let mut took = Vec::new();
+        while took.len() < 200 || callers.iter().any(|caller| !caller.is_finished()) {
+            let asked = Instant::now();
+            assert_eq!(agent.get("/read").await.status(), 200);
+            took.push(asked.elapsed());
+        }
+        took.sort();
+        let mut bytes = 0;
+        for caller in callers {
+            bytes += caller.await.expect("no panic");
+        }
+        let (half, most) = (took[took.len() / 2], took[took.len() - 1]);
+        println!("{call:10} {bytes} bytes said; {} requests, median {half:?}, longest {most:?}", took.len());
+    }
+}
