--- a/agent/src/application/server.rs
+++ b/agent/src/application/server.rs
@@ -5,6 +5,7 @@
 use crate::renderers::upstream::{forwarded, Served};
 use crate::traffic::body::{Hold, Intake, Reply, Unread, BUFFER, KEPT_MOST, REQUEST_MOST};
 use crate::traffic::errors::{concerns_one_connection, is_shortage};
+use crate::traffic::lingering::Lingering;
 use crate::traffic::pace::{Asked, Pace, Patience, Timed};
 use crate::traffic::socket::Socket;
 use bytes::BytesMut;
@@ -64,6 +65,7 @@
     /// What comes from now on has to be answered by then, whatever its client would wait.
     last: Cell<Option<Instant>>,
     places: std::sync::Arc<Semaphore>,
+    lingering: Lingering,
 }
 
 impl Server {
@@ -75,6 +77,7 @@
             open: Cell::new(0),
             last: Cell::new(None),
             places: std::sync::Arc::new(Semaphore::new(connections)),
+            lingering: Lingering::default(),
         })
     }
 
@@ -84,7 +87,7 @@
         let mut stay = self.stay.subscribe();
         let taken = async {
             loop {
-                let Ok(place) = self.places.clone().acquire_owned().await else { return };
+                let Some(place) = self.place().await else { return };
                 match listener.accept().await {
                     Ok((stream, _)) => self.serve(stream, place),
                     Err(why) if concerns_one_connection(&why) => {}
@@ -102,7 +105,7 @@
     /// Takes what the system has accepted, which would be reset with the listener. It asks the system, as the runtime may
     /// not have heard of all yet. How long a shortage is waited out is up to the caller.
     async fn take_queue(self: &Rc<Self>, listener: &TcpListener) {
-        while let Ok(place) = self.places.clone().acquire_owned().await {
+        while let Some(place) = self.place().await {
             match SockRef::from(listener).accept() {
                 Ok((socket, _)) => {
                     let stream =
@@ -119,6 +122,19 @@
         }
     }
 
+    /// A place for one more connection. While all are taken, the connections that have been ended and linger give
+    /// theirs up, one after the other.
+    async fn place(&self) -> Option<OwnedSemaphorePermit> {
+        let mut place = pin!(self.places.clone().acquire_owned());
+        loop {
+            tokio::select! {
+                biased;
+                place = place.as_mut() => return place.ok(),
+                () = self.lingering.cut_oldest() => {}
+            }
+        }
+    }
+
     fn serve(self: &Rc<Self>, stream: TcpStream, place: OwnedSemaphorePermit) {
         tokio::task::spawn_local(self.clone().connection(stream, place));
     }
@@ -155,7 +171,7 @@
         let _open = Counted::one(&self.open);
         let socket = Socket::new(stream);
         self.clone().converse(&socket).await;
-        socket.part().await;
+        self.lingering.close(socket).await;
     }
 
     /// Answers what comes over a connection until it is to be closed.
--- a/agent/src/log.rs
+++ b/agent/src/log.rs
@@ -10,7 +10,7 @@
 use micasail::{Outcome, Span};
 use std::fmt::{self, Write as _};
 use std::io::{self, Write};
-use std::sync::atomic::{AtomicU32, AtomicU64, Ordering::Relaxed};
+use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering::Relaxed};
 use std::sync::mpsc::{sync_channel, SyncSender};
 use std::sync::Arc;
 use tokio::time::{Duration, Instant};
@@ -28,6 +28,8 @@
 const WAITING_MOST: usize = 1024;
 /// How long the end of the process waits for its last lines to be taken.
 const LAST_WORDS: Duration = Duration::from_millis(200);
+/// Pause of the log's thread before it tries again where its reader has no room.
+const FULL_PAUSE: Duration = Duration::from_millis(5);
 /// How often the counts are written.
 const PERIOD: Duration = Duration::from_secs(5);
 
@@ -76,7 +78,10 @@
             for line in lines {
                 match line {
                     // A log that nobody takes must not end the agent.
-                    Line::Text(text) => drop(io::stderr().write_all(&text)),
+                    Line::Text(text) if write_whole(&mut io::stderr(), &text).is_err() => {
+                        LEFT_OUT.fetch_add(1, Relaxed);
+                    }
+                    Line::Text(_) => {}
                     Line::Last(told) => drop(told.send(())),
                 }
             }
@@ -95,6 +100,20 @@
     }
 }
 
+/// Writes a line whole. Whoever shares the descriptor may have made it one that does not wait: then this does.
+fn write_whole(to: &mut impl Write, mut text: &[u8]) -> io::Result<()> {
+    while !text.is_empty() {
+        match to.write(text) {
+            Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
+            Ok(written) => text = &text[written..],
+            Err(why) if why.kind() == io::ErrorKind::WouldBlock => std::thread::sleep(FULL_PAUSE),
+            Err(why) if why.kind() == io::ErrorKind::Interrupted => {}
+            Err(why) => return Err(why),
+        }
+    }
+    Ok(())
+}
+
 enum Line {
     Text(Vec<u8>),
     Last(SyncSender<()>),
@@ -105,6 +124,11 @@
 
 impl Drop for Written {
     fn drop(&mut self) {
+        tell_left_out(|left_out| {
+            if left_out > 0 {
+                tracing::info!(target: "counts", left_out, "the log ends");
+            }
+        });
         let (tell, told) = sync_channel(1);
         // With no room nobody reads, and nobody is waited for.
         if self.0.try_send(Line::Last(tell)).is_ok() {
@@ -115,6 +139,19 @@
 
 /// Lines that were left out of the log for the bound, or because nobody took them.
 static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+/// Whether the last line was taken by the log's thread.
+static LAST_TAKEN: AtomicBool = AtomicBool::new(false);
+
+/// Has a line written that tells how many were left out since the last such line. If that line is not taken either,
+/// they are told with the next one.
+fn tell_left_out(write: impl FnOnce(u64)) {
+    let left_out = LEFT_OUT.swap(0, Relaxed);
+    LAST_TAKEN.store(false, Relaxed);
+    write(left_out);
+    if !LAST_TAKEN.load(Relaxed) {
+        LEFT_OUT.fetch_add(left_out, Relaxed);
+    }
+}
 
 /// The way to the log's thread. Each line is written whole or not at all.
 #[derive(Clone)]
@@ -122,7 +159,9 @@
 
 impl Write for Lines {
     fn write(&mut self, text: &[u8]) -> io::Result<usize> {
-        if self.0.try_send(Line::Text(text.to_vec())).is_err() {
+        let taken = self.0.try_send(Line::Text(text.to_vec())).is_ok();
+        LAST_TAKEN.store(taken, Relaxed);
+        if !taken {
             LEFT_OUT.fetch_add(1, Relaxed);
         }
         Ok(text.len())
@@ -237,6 +276,10 @@
 impl Moved {
     /// Writes it, with the connections that are held and the state behind the decisions.
     pub fn write(&self, connections: usize, state: &str) {
+        tell_left_out(|left_out| self.write_with(left_out, connections, state));
+    }
+
+    fn write_with(&self, left_out: u64, connections: usize, state: &str) {
         let Moved { counts, before } = self;
         let total = |kind: fn(&Ends) -> u64| counts.total(kind) - before.total(kind);
         let (refused, unsent) = (total(|e| e.refused), counts.refused_unsent - before.refused_unsent);
@@ -252,7 +295,7 @@
             turned_away = counts.bad - before.bad,
             sent_whole = counts.sends - before.sends,
             attempts = self.attempts(),
-            left_out = LEFT_OUT.swap(0, Relaxed),
+            left_out,
             connections,
             "{state}",
         );
--- a/agent/src/traffic/mod.rs
+++ b/agent/src/traffic/mod.rs
@@ -2,5 +2,6 @@
 
 pub mod body;
 pub mod errors;
+pub mod lingering;
 pub mod pace;
 pub mod socket;
--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,7 +5,7 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 32] = [
+const LAYERS: [&str; 33] = [
     "list",
     "forms",
     "figures",
@@ -14,6 +14,7 @@
     "config",
     "traffic/errors",
     "traffic/socket",
+    "traffic/lingering",
     "traffic/pace",
     "traffic/body",
     "renderers/connect",
--- a/agent/tests/operator.rs
+++ b/agent/tests/operator.rs
@@ -3,9 +3,18 @@
 mod common;
 use common::*;
 use serde_json::{json, Value};
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
+use tokio::process::Command;
+use tokio::sync::Notify;
+
+/// Callers that are there at a time.
+const CROWD: usize = 1000;
+/// Callers that wait in the queue of a listener that accepts none, and fit in there.
+const QUEUED: usize = 120;
+const TOO_MANY: &str = "error too many callers\n";
 
 async fn operated(hosts: &[Value], directory: &Directory) -> Agent {
     let mut config = config(directory.address, hosts);
@@ -202,3 +211,225 @@
     assert_eq!(agent.call("zone return b").await, "done\n");
     soon("the return", async { while agent.get("/read").await.body != b"far" {} }).await;
 }
+
+/// Stops the process or has it go on.
+async fn signal(agent: &Agent, signal: &str) {
+    let id = agent.child.id().expect("it runs").to_string();
+    assert!(Command::new("kill").args([signal, &id]).status().await.expect("kill runs").success());
+}
+
+/// All that is said to a caller, also where the connection ends with a reset behind it.
+async fn all_said(stream: &mut TcpStream) -> String {
+    let mut said = Vec::new();
+    let _ = soon("the connection's end", stream.read_to_end(&mut said)).await;
+    String::from_utf8(said).expect("text")
+}
+
+/// Callers whose calls have all come whole before the agent accepts the first of them: none is closed for another one's
+/// sake, and what is carried out is answered.
+#[tokio::test]
+async fn calls_that_have_come_whole_are_answered_however_many_come_at_once() {
+    let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
+    let directory = Directory::start(Mood::Mute).await;
+    let agent = operated(&[host("s", backend.address, "up")], &directory).await;
+    agent.ready().await;
+    signal(&agent, "-STOP").await;
+    let mut callers = Vec::new();
+    for n in 0..QUEUED {
+        let mut stream = agent.operator().await;
+        let call: &[u8] = if n % 2 == 0 { b"cordon s\n" } else { b"uncordon s\n" };
+        stream.write_all(call).await.expect("sent");
+        callers.push(stream);
+    }
+    signal(&agent, "-CONT").await;
+    for (n, stream) in callers.iter_mut().enumerate() {
+        assert_eq!(all_said(stream).await, "done\n", "caller {n} of {QUEUED}");
+    }
+}
+
+/// A caller is being told that its call is not whole in time, or that there are too many, while the rest of the call
+/// comes: one clear line either way, and never an end without one.
+#[tokio::test]
+async fn a_call_that_becomes_whole_as_its_place_is_needed_gets_one_line() {
+    let directory = Directory::start(Mood::Mute).await;
+    let agent = operated(&[], &directory).await;
+    let mut halves = Vec::new();
+    for _ in 0..32 {
+        let mut stream = agent.operator().await;
+        stream.write_all(b"zones").await.expect("sent");
+        halves.push(stream);
+    }
+    // One that is answered came after them, so all of them are held.
+    assert_eq!(agent.call("").await.lines().count(), 1);
+    assert_eq!(all_said(&mut halves[0]).await, TOO_MANY);
+    signal(&agent, "-STOP").await;
+    let mut newcomers = Vec::new();
+    for _ in 0..32 {
+        newcomers.push(agent.operator().await);
+    }
+    for half in &mut halves[1..] {
+        half.write_all(b"\n").await.expect("sent");
+    }
+    signal(&agent, "-CONT").await;
+    for half in &mut halves[1..] {
+        let said = all_said(half).await;
+        assert!(said.ends_with("end\n"), "{said}");
+    }
+}
+
+/// Lines without end, half calls that are held open and callers that send nothing, all at once: each is told one clear
+/// line, and the application's requests are answered meanwhile.
+#[tokio::test]
+async fn a_crowd_of_callers_is_told_one_line_each_and_costs_no_request_its_time() {
+    let word = Arc::new(Notify::new());
+    let held = word.clone();
+    let backend = Backend::start(move |m| match m.head.contains("/held") {
+        true => Reply::When(held.clone(), ok("held")),
+        false => Reply::Bytes(ok("x")),
+    })
+    .await;
+    let directory = Directory::start(Mood::Mute).await;
+    let agent = operated(&[host("s", backend.address, "up")], &directory).await;
+    agent.ready().await;
+    let mut waits = agent.client().await;
+    waits.send(&request("GET", "/read/held", "20000m", "")).await;
+    let mut callers = Vec::new();
+    for n in 0..CROWD {
+        let mut stream = agent.operator().await;
+        callers.push(tokio::spawn(async move {
+            match n % 3 {
+                0 => drop(stream.write_all(b"cordon s").await),
+                1 => {}
+                _ => {
+                    let (mut read, mut write) = stream.split();
+                    let mut said = Vec::new();
+                    let endless = async { while write.write_all(&[b'x'; 8192]).await.is_ok() {} };
+                    let listens = soon("the connection's end", read.read_to_end(&mut said));
+                    let _ = tokio::join!(endless, listens);
+                    return String::from_utf8(said).expect("text");
+                }
+            }
+            all_said(&mut stream).await
+        }));
+        if n % 50 == 0 {
+            assert_eq!(agent.get("/read").await.status(), 200, "beside {n} callers");
+        }
+    }
+    word.notify_one();
+    assert_eq!(waits.answer().await.status(), 200);
+    for (n, caller) in callers.into_iter().enumerate() {
+        let said = caller.await.expect("no panic");
+        let expected = [TOO_MANY, "error the line is too long\n", "error no whole line in time\n"];
+        assert!(expected.contains(&said.as_str()), "caller {n} was told {said:?}");
+    }
+    assert_eq!(agent.counters().await["cluster_unhealthy"], 0, "half a call was carried out");
+}
+
+/// A word that could not be kept for the next process, and is said again: it is kept then, or the staff are told again that
+/// it is not.
+#[tokio::test]
+async fn a_cordon_that_could_not_be_kept_is_not_done_by_saying_it_again() {
+    let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
+    let directory = Directory::start(Mood::Mute).await;
+    let folder = std::env::temp_dir().join(format!("bellcroft-operator-{}", std::process::id()));
+    std::fs::create_dir(&folder).expect("a folder");
+    let mut config = config(directory.address, &[host("s", backend.address, "up")]);
+    config["operator"] = "127.0.0.1:0".into();
+    let agent = Agent::with(config, |command| {
+        command.env("TMPDIR", &folder);
+    })
+    .await;
+    std::fs::remove_dir_all(&folder).expect("removed");
+    for _ in 0..2 {
+        let said = agent.call("cordon s").await;
+        assert!(said.starts_with("error it holds in this process alone"), "{said}");
+    }
+    std::fs::create_dir(&folder).expect("a folder");
+    assert_eq!(agent.call("cordon s").await, "done\n");
+    let kept = std::fs::read_dir(&folder).expect("the folder").filter_map(Result::ok);
+    let kept = kept.filter(|file| file.file_name().to_string_lossy().ends_with("cordons.json"));
+    let words = kept.map(|file| std::fs::read_to_string(file.path()).expect("text")).collect::<String>();
+    std::fs::remove_dir_all(&folder).expect("removed");
+    assert!(words.contains("\"s\":{\"out\":true"), "{words}");
+}
+
+/// All renderers' answers that were counted by the time of this call.
+async fn answered(mut stream: TcpStream) -> u64 {
+    let said = all_said(&mut stream).await;
+    let figures: Value = serde_json::from_str(said.lines().next().unwrap_or_default()).expect("figures");
+    let renderers = figures["renderers"].as_array().expect("renderers");
+    renderers.iter().filter_map(|renderer| renderer["answered"].as_u64()).sum()
+}
+
+/// Callers and a request that are all there at once: the request is answered between the calls and not behind them, as the
+/// figures that the later ones are told show. Where the renderer here takes longer than all calls together nothing is
+/// shown, and it is played again.
+#[tokio::test]
+async fn a_request_is_served_between_the_calls_of_a_crowd() {
+    const RENDERERS: usize = 1000;
+    const CALLERS: usize = 30;
+    let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
+    let directory = Directory::start(Mood::Mute).await;
+    let names: Vec<String> = (0..RENDERERS).map(|n| format!("s{n}")).collect();
+    let hosts: Vec<Value> = names.iter().map(|name| host(name, backend.address, "up")).collect();
+    let agent = operated(&hosts, &directory).await;
+    agent.ready().await;
+    for before in 0..10 {
+        signal(&agent, "-STOP").await;
+        let mut callers = Vec::new();
+        for _ in 0..CALLERS {
+            let mut stream = agent.operator().await;
+            stream.write_all(b"renderers\n").await.expect("sent");
+            callers.push(tokio::spawn(answered(stream)));
+        }
+        let mut client = agent.client().await;
+        client.send(&request("GET", "/read", "20000m", "")).await;
+        signal(&agent, "-CONT").await;
+        assert_eq!(client.answer().await.status(), 200);
+        let mut told = Vec::new();
+        for caller in callers {
+            told.push(caller.await.expect("no panic"));
+        }
+        if told.iter().any(|told| *told > before) {
+            return;
+        }
+    }
+    panic!("ten times a request was answered behind all calls");
+}
+
+/// What whole calls of a crowd cost the requests beside them: `cargo test --release -p bellcroft --test operator --
+/// --ignored --nocapture calls_cost`.
+#[tokio::test]
+#[ignore = "a measurement"]
+async fn what_a_crowd_of_calls_costs() {
+    const RENDERERS: usize = 1000;
+    let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
+    let directory = Directory::start(Mood::Mute).await;
+    let names: Vec<String> = (0..RENDERERS).map(|n| format!("s{n}")).collect();
+    let hosts: Vec<Value> = names.iter().map(|name| host(name, backend.address, "up")).collect();
+    let agent = operated(&hosts, &directory).await;
+    agent.ready().await;
+    for call in ["", "health", "counters", "renderers"] {
+        let mut callers = Vec::new();
+        for _ in 0..CROWD * usize::from(!call.is_empty()) {
+            let (mut stream, call) = (agent.operator().await, format!("{call}\n"));
+            callers.push(tokio::spawn(async move {
+                stream.write_all(call.as_bytes()).await.expect("sent");
+                all_said(&mut stream).await.len()
+            }));
+        }
+        let mut took = Vec::new();
+        while took.len() < 200 || callers.iter().any(|caller| !caller.is_finished()) {
+            let asked = Instant::now();
+            assert_eq!(agent.get("/read").await.status(), 200);
+            took.push(asked.elapsed());
+        }
+        took.sort();
+        let mut bytes = 0;
+        for caller in callers {
+            bytes += caller.await.expect("no panic");
+        }
+        let (half, most) = (took[took.len() / 2], took[took.len() - 1]);
+        println!("{call:10} {bytes} bytes said; {} requests, median {half:?}, longest {most:?}", took.len());
+    }
+}
