--- a/agent/src/application/server.rs
+++ b/agent/src/application/server.rs
@@ -58,8 +58,8 @@
     driver: Rc<Driver>,
     stay: watch::Sender<Stay>,
     open: Cell<usize>,
-    /// What comes from now on has to be answered by then, whatever its client would wait.
-    last: Cell<Option<Instant>>,
+    /// Once the process has been told to end: every request has to be answered by then, whatever its client would wait.
+    answer_by: watch::Sender<Option<Instant>>,
     places: std::sync::Arc<Semaphore>,
 }
 
@@ -70,7 +70,7 @@
             driver,
             stay: watch::Sender::new(Stay::On),
             open: Cell::new(0),
-            last: Cell::new(None),
+            answer_by: watch::Sender::new(None),
             places: std::sync::Arc::new(Semaphore::new(connections)),
         })
     }
@@ -106,9 +106,9 @@
         tokio::task::spawn_local(self.clone().connection(stream, place));
     }
 
-    /// Says `Connection: close` from now on and closes what rests. All is answered by `last`.
-    pub fn drain(&self, last: Instant) {
-        self.last.set(Some(last));
+    /// Says `Connection: close` from now on and closes what rests. All is answered by `answer_by`.
+    pub fn drain(&self, answer_by: Instant) {
+        self.answer_by.send_replace(Some(answer_by));
         self.leave(Stay::Ends);
     }
 
@@ -118,9 +118,9 @@
     }
 
     /// Answers what is open and the next request of each connection, as another process takes the new ones. All is
-    /// answered by `last`.
-    pub fn hand_over(&self, last: Instant) {
-        self.last.set(Some(last));
+    /// answered by `answer_by`.
+    pub fn hand_over(&self, answer_by: Instant) {
+        self.answer_by.send_replace(Some(answer_by));
         self.leave(Stay::HandedOver);
     }
 
@@ -255,6 +255,7 @@
             why = broken => return Err(unread(why)),
             answer = answer => answer.map_or_else(|_| plain(StatusCode::BAD_GATEWAY, "no answer was decided"), word),
             () = over => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
+            () = self.shutdown_due(intake.as_deref()) => plain(StatusCode::GATEWAY_TIMEOUT, "the agent ends"),
         };
         if let Some(intake) = intake.filter(|intake| intake.whole_at().is_none()) {
             tokio::task::spawn_local(intake.discard());
@@ -262,6 +263,20 @@
         Ok(answer)
     }
 
+    /// Ends when a request has to be answered because the process may be killed soon. One whose body is still coming is
+    /// not owed an answer yet.
+    async fn shutdown_due(&self, body: Option<&Intake>) {
+        let mut answer_by = self.answer_by.subscribe();
+        let due = answer_by.wait_for(Option::is_some).await.ok().and_then(|due| *due);
+        if let Some(due) = due {
+            sleep_until(due).await;
+            if body.is_none_or(|body| body.whole_at().is_some()) {
+                return;
+            }
+        }
+        std::future::pending().await
+    }
+
     /// Reads a small body whole, and so much of another one that it shows.
     async fn collect(
         &self,
@@ -340,8 +355,8 @@
         let body = self.collect(body, patience, expects).await.map_err(unread)?;
         let came = Instant::now();
         let room = ANSWER_ROOM.min(wait / 4);
-        let wait = match self.last.get() {
-            Some(last) => wait.min(last.saturating_duration_since(came)).max(room),
+        let wait = match *self.answer_by.borrow() {
+            Some(answer_by) => wait.min(answer_by.saturating_duration_since(came)).max(room),
             None => wait,
         };
         let query = head.uri.query().unwrap_or_default();
--- a/agent/src/process.rs
+++ b/agent/src/process.rs
@@ -22,8 +22,12 @@
 const BACKENDS_SHARE: usize = 3;
 /// A process that inherits its listener leaves it alone until it has a list, but no longer than this.
 const LIST_WAIT: Duration = Duration::from_secs(4);
-/// At a planned end the longest deadline counts as this where it is longer (the protocol page).
+/// SIGKILL may follow SIGTERM after this and the shortest deadline of the deployment.
+const KILL_DELAY: Duration = Duration::from_millis(700);
+/// For that a deadline counts as this where it is longer (the protocol page).
 const DEADLINE_MOST: Duration = Duration::from_secs(3);
+/// The process may be held up for so long between a look at its clock and the write that goes by it.
+const HELD_UP_MOST: Duration = Duration::from_millis(150);
 /// Bodies that are on their way at a planned end get so long past the last deadline.
 const BODIES_MOST: Duration = Duration::from_secs(30);
 /// Answers that are decided are written within this.
@@ -81,7 +85,9 @@
     };
     let listener = listener.map_err(|e| format!("cannot listen on {listen}: {e}"))?;
     let address = listener.local_addr().map_err(|e| format!("cannot listen on {listen}: {e}"))?;
-    let longest = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+    let deadlines = || config.settings.classes.iter().map(|class| Duration::from_micros(class.deadline.0));
+    let shortest = deadlines().min().unwrap_or_default();
+    let longest = deadlines().max().unwrap_or_default();
     let name = config.name.clone();
     let operator = config.operator;
     let apart = SPARE_SOCKETS + operator.map_or(0, |_| operator::SOCKETS);
@@ -146,20 +152,18 @@
             _ = &mut driven => return Err("the decisions have stopped".into()),
         }
     }
-    let (told, longest) = (Instant::now(), Duration::from_micros(longest.0));
-    // The process may be killed from here on, and what comes late and is not answered by then is lost.
-    let last = told + server::ACCEPT_ON + longest.min(DEADLINE_MOST);
+    let told = Instant::now();
+    let answer_by = told + answer_within(shortest);
     if handed_on {
         // The queue is the new process's, or the next one's: the platform holds the socket.
         accepting.abort();
-        server.hand_over(last - FLUSH);
+        server.hand_over(answer_by);
     } else {
-        server.drain(last - FLUSH);
+        server.drain(answer_by);
         sleep(server::ACCEPT_ON).await;
         server.close();
     }
-    // Requests of before may wait on until then: to end without their answers would lose them. Nor is an answer cut
-    // that is on its way, unless it never ends.
+    // Long bodies and answers that are on their way are not cut, unless they never end.
     let given_up = told + server::ACCEPT_ON + longest + BODIES_MOST;
     if !handed_on {
         // It takes what still lies in the queue, as soon as there are places.
@@ -173,6 +177,12 @@
     Ok(())
 }
 
+/// How long after SIGTERM each request has its answer, if `shortest` is the shortest deadline: before the process may be
+/// killed, which would lose it.
+fn answer_within(shortest: Duration) -> Duration {
+    KILL_DELAY + shortest.min(DEADLINE_MOST) - HELD_UP_MOST - FLUSH
+}
+
 /// Takes the fleet file as it is now, all of it or nothing, and says what changed.
 fn take_fleet(name: &str, fleet: &mut Fleet, driver: &Rc<Driver>) {
     let new = Fleet::read(&fleet.file, &driver.names).and_then(|new| Ok((fleet.changes(&new)?, new)));
