--- a/agent/src/application/server.rs
+++ b/agent/src/application/server.rs
@@ -277,41 +277,59 @@
         std::future::pending().await
     }
 
-    /// Reads a small body whole, and so much of another one that it shows.
+    /// Reads a small body whole, and so much of another one that it shows. The error is the answer to a bad one.
     async fn collect(
         &self,
         mut body: Incoming,
         mut patience: Patience,
         expects: bool,
-    ) -> Result<Content, Unread> {
+        wait: Duration,
+    ) -> Result<Collected, Response<Reply>> {
         let hint = body.size_hint();
         if hint.lower() > REQUEST_MOST {
-            return Err(Unread::Long);
+            return Err(unread(Unread::Long));
         }
         let mut kept = BytesMut::new();
+        let mut waited = Duration::ZERO;
         if hint.lower() <= KEPT_MOST as u64 {
             let most = hint.exact().map_or(KEPT_MOST, |length| length as usize);
-            let hold = self.room(self.driver.budget.request(most), &patience).await?;
+            let room = self.room(self.driver.budget.request(most), &patience, wait).await?;
+            waited = room.waited;
             while kept.len() <= KEPT_MOST {
-                let frame = timeout_at(patience.due(), body.frame()).await.map_err(|_| Unread::Late)?;
+                let frame =
+                    timeout_at(patience.due(), body.frame()).await.map_err(|_| unread(Unread::Late))?;
                 let Some(frame) = frame else {
-                    return Ok(Content::Kept { bytes: kept.freeze(), _hold: hold });
+                    let content = Content::Kept { bytes: kept.freeze(), _hold: room.hold };
+                    return Ok(Collected { content, waited });
                 };
-                let Ok(bytes) = frame.map_err(|_| Unread::Broken)?.into_data() else { continue };
+                let Ok(bytes) = frame.map_err(|_| unread(Unread::Broken))?.into_data() else { continue };
                 patience.came(bytes.len());
                 kept.extend_from_slice(&bytes);
             }
         }
-        let hold = self.room(self.driver.budget.uploading(), &patience).await?;
-        Ok(Content::Passed(Intake::new(kept.freeze(), body, patience, expects, hold)))
+        let room = self.room(self.driver.budget.uploading(), &patience, wait.saturating_sub(waited)).await?;
+        waited += room.waited;
+        let content = Content::Passed(Intake::new(kept.freeze(), body, patience, expects, room.hold));
+        Ok(Collected { content, waited })
     }
 
+    /// Waits for room for a body, for as long as its client waits and the body has time to come. The error is the answer
+    /// when there is none.
     async fn room(
         &self,
         room: impl Future<Output = std::io::Result<Hold>>,
         patience: &Patience,
-    ) -> Result<Hold, Unread> {
-        timeout_at(patience.due(), room).await.map_err(|_| Unread::Late)?.map_err(|_| Unread::Broken)
+        wait: Duration,
+    ) -> Result<Room, Response<Reply>> {
+        let asked = Instant::now();
+        let due = patience.due().min(asked + wait.saturating_sub(ANSWER_ROOM));
+        let hold = tokio::select! {
+            biased;
+            hold = timeout_at(due, room) => hold.ok().and_then(Result::ok),
+            () = self.shutdown_due(None) => None,
+        };
+        let hold = hold.ok_or_else(|| plain(StatusCode::SERVICE_UNAVAILABLE, "no room for the body"))?;
+        Ok(Room { hold, waited: asked.elapsed() })
     }
 
     /// Reads a request whole; the error is the answer to a bad one.
@@ -352,8 +370,9 @@
             return Err(bad("this class needs an Idempotency-Key"));
         }
         let expects = head.headers.contains_key(EXPECT);
-        let body = self.collect(body, patience, expects).await.map_err(unread)?;
-        let came = Instant::now();
+        let body = self.collect(body, patience, expects, wait).await?;
+        // While the body waited for room its client may have sent all of it, and its time went by.
+        let came = Instant::now() - body.waited;
         let room = ANSWER_ROOM.min(wait / 4);
         let wait = match *self.answer_by.borrow() {
             Some(answer_by) => wait.min(answer_by.saturating_duration_since(came)).max(room),
@@ -374,11 +393,25 @@
             headers: forwarded(&head.headers),
             method: head.method,
             uri: head.uri,
-            body,
+            body: body.content,
         })
     }
 }
 
+/// A body, as far as it is kept.
+struct Collected {
+    content: Content,
+    /// How long it has waited for room altogether.
+    waited: Duration,
+}
+
+/// Room for a body.
+struct Room {
+    hold: Hold,
+    /// How long the body has waited for it.
+    waited: Duration,
+}
+
 /// Counts something for as long as it lasts.
 struct Counted<'a>(&'a Cell<usize>);
 
--- a/agent/tests/shutdown.rs
+++ b/agent/tests/shutdown.rs
@@ -2,7 +2,10 @@
 //! killed, which is the shortest deadline of the deployment (3 s at most) and 0.7 s after SIGTERM.
 
 mod common;
+#[path = "common/hold_ups.rs"]
+mod hold_ups;
 use common::*;
+use hold_ups::HoldUps;
 use std::time::{Duration, Instant};
 
 /// A process may be killed so long after SIGTERM, and the shortest deadline later.
@@ -17,32 +20,6 @@
 const HELD_UP_MOST: Duration = Duration::from_millis(60);
 const ROUNDS: usize = 10;
 
-/// The longest time by which a short sleep was late.
-struct HoldUps(tokio::task::JoinHandle<()>, std::sync::Arc<std::sync::Mutex<Duration>>);
-
-impl HoldUps {
-    fn watch() -> Self {
-        const TICK: Duration = Duration::from_millis(5);
-        let longest = std::sync::Arc::<std::sync::Mutex<Duration>>::default();
-        let noted = longest.clone();
-        let watch = tokio::spawn(async move {
-            loop {
-                let before = Instant::now();
-                tokio::time::sleep(TICK).await;
-                let late = before.elapsed().saturating_sub(TICK);
-                let mut longest = noted.lock().expect("no panic");
-                *longest = late.max(*longest);
-            }
-        });
-        HoldUps(watch, longest)
-    }
-
-    fn longest(self) -> Duration {
-        self.0.abort();
-        *self.1.lock().expect("no panic")
-    }
-}
-
 /// Plays a shutdown under these deadlines (one for each class of the settings), with a client's wait that is its class's
 /// deadline; the requests that have no answer at SIGKILL, and for how long the machine held the test up.
 async fn unanswered_at_kill(deadlines: [u64; 3]) -> (Vec<String>, Duration) {
