--- a/agent/src/application/server.rs
+++ b/agent/src/application/server.rs
@@ -309,7 +309,8 @@
         }
         let room = self.room(self.driver.budget.uploading(), &patience, wait.saturating_sub(waited)).await?;
         waited += room.waited;
-        let content = Content::Passed(Intake::new(kept.freeze(), body, patience, expects, room.hold));
+        let came = Instant::now() - waited;
+        let content = Content::Passed(Intake::new(kept.freeze(), body, patience, expects, room.hold, came));
         Ok(Collected { content, waited })
     }
 
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -291,7 +291,9 @@
                 Step::Spent => Event::Spent { request: id },
                 Step::Whole => {
                     open.taken.whole();
-                    let time_left = Span(open.parts.wait().as_micros() as u64);
+                    let whole_at = open.parts.intake().and_then(|intake| intake.whole_at());
+                    let spent = whole_at.map_or(Duration::ZERO, |whole| whole.elapsed());
+                    let time_left = Span(open.parts.wait().saturating_sub(spent).as_micros() as u64);
                     Event::Uploaded { request: id, time_left }
                 }
             };
@@ -479,7 +481,10 @@
                     let balancer = &driver.state.borrow().queue.balancer;
                     balancer.may_begin(driver.clock.at(now), request, AttemptNo(attempt))
                 };
-                let left = if upload.is_some() { wait } else { until.saturating_duration_since(now) };
+                let left = match &upload {
+                    None => until.saturating_duration_since(now),
+                    Some(upload) => wait.saturating_sub(upload.unread()),
+                };
                 may_begin.then(|| outgoing(&parts, left))
             };
             let ended = driver.upstream.attempt(server, begin, parts.intake(), over, &progress).await;
--- a/agent/src/traffic/body.rs
+++ b/agent/src/traffic/body.rs
@@ -30,6 +30,8 @@
 const BODIES_SHARE: u64 = 2;
 const BUDGET_LEAST: u64 = 2 << 20;
 const UNIT: usize = 1 << 10;
+/// A piece that comes so long after it was asked for had not been sent before.
+const STARVED: Duration = Duration::from_millis(5);
 /// A backend that says nothing for so long in the middle of an answer will not go on.
 const STALL: Duration = Duration::from_secs(30);
 
@@ -267,18 +269,35 @@
     body: Incoming,
     patience: Patience,
     read: u64,
+    /// Since when its client may have sent all of it, for all that is known.
+    came: Instant,
+    /// When an attempt first asked for it.
+    asked: Option<Instant>,
+    /// Since when the piece that is asked for has not come.
+    missed: Option<Instant>,
+    /// It is known that its client is still sending.
+    starved: bool,
     /// Since when nobody has asked for more.
     paused: Option<Instant>,
     late: Pin<Box<Sleep>>,
 }
 
 impl Intake {
-    /// A body that has begun, and turned out to be long.
-    pub fn new(first: Bytes, body: Incoming, patience: Patience, expects: bool, hold: Hold) -> Rc<Self> {
+    /// A body that has begun, and turned out to be long. What lies in the system's buffers since `came` may be all of it.
+    pub fn new(
+        first: Bytes,
+        body: Incoming,
+        patience: Patience,
+        expects: bool,
+        hold: Hold,
+        came: Instant,
+    ) -> Rc<Self> {
         let read = first.len() as u64;
         let length = body.size_hint().exact().map(|rest| read + rest);
         let late = Box::pin(sleep_until(patience.due()));
-        let reading = Reading { first, body, patience, read, paused: None, late };
+        let (asked, missed, starved) = (None, None, expects && read == 0);
+        let reading =
+            Reading { first, body, patience, read, came, asked, missed, starved, paused: None, late };
         Rc::new(Intake {
             length,
             coming: watch::Sender::new(Coming::More),
@@ -323,6 +342,11 @@
         }
     }
 
+    /// For how long it may have lain unread while its client had sent all of it and waited for the answer.
+    pub fn unread(&self) -> Duration {
+        self.reading.borrow().unread()
+    }
+
     /// Since when it is whole.
     pub fn whole_at(&self) -> Option<Instant> {
         match *self.coming.borrow() {
@@ -376,8 +400,20 @@
 }
 
 impl Reading {
+    fn unread(&self) -> Duration {
+        if self.starved {
+            return Duration::ZERO;
+        }
+        self.asked.unwrap_or_else(Instant::now).saturating_duration_since(self.came)
+    }
+
+    fn whole(&self) -> Coming {
+        Coming::Whole(Instant::now() - self.unread())
+    }
+
     /// The next piece, and what becomes of the body with it.
     fn poll_next(&mut self, cx: &mut Context<'_>) -> (Next, Option<Coming>) {
+        self.asked.get_or_insert_with(Instant::now);
         if let Some(paused) = self.paused.take() {
             self.patience.paused(paused.elapsed());
         }
@@ -390,8 +426,9 @@
                     Err(_trailers) => {}
                 },
                 Poll::Ready(Some(Err(_))) => return broken(Unread::Broken),
-                Poll::Ready(None) => return (Poll::Ready(None), Some(Coming::Whole(Instant::now()))),
+                Poll::Ready(None) => return (Poll::Ready(None), Some(self.whole())),
                 Poll::Pending => {
+                    self.missed.get_or_insert_with(Instant::now);
                     self.late.as_mut().reset(self.patience.due());
                     if self.late.as_mut().poll(cx).is_ready() {
                         return broken(Unread::Late);
@@ -400,13 +437,14 @@
                 }
             }
         };
+        self.starved |= self.missed.take().is_some_and(|missed| missed.elapsed() > STARVED);
         self.read += bytes.len() as u64;
         if self.read > REQUEST_MOST {
             return broken(Unread::Long);
         }
         self.patience.came(bytes.len());
         self.paused = Some(Instant::now());
-        let ended = self.body.is_end_stream().then(|| Coming::Whole(Instant::now()));
+        let ended = self.body.is_end_stream().then(|| self.whole());
         (Poll::Ready(Some(Ok(bytes))), ended)
     }
 }
--- a/agent/tests/time_left.rs
+++ b/agent/tests/time_left.rs
@@ -145,3 +145,44 @@
     }
     panic!("the machine held every round up");
 }
+
+/// A connection comes up late, and a body that is too long to be kept lies whole in the system's buffers meanwhile: its time
+/// goes by from its last byte. What is told is what is left, and the answer comes by then.
+#[tokio::test]
+async fn a_long_body_that_lies_unread_has_its_time() {
+    const LONG: usize = 100 << 10;
+    const SHORT: Duration = Duration::from_millis(1500);
+    for _ in 0..ROUNDS {
+        let choked = Choked::start().await;
+        let directory = Directory::start(Mood::Mute).await;
+        let mut config = config(directory.address, &[host("s", choked.address, "up")]);
+        config["settings"]["limits"]["connectTimeoutMs"] = 10_000.into();
+        let agent = Agent::with(config, |_| {}).await;
+        let hold_ups = HoldUps::watch();
+        let mut client = agent.client().await;
+        client.send(&request("POST", "/pay", "1500m", &"x".repeat(LONG))).await;
+        let sent = Instant::now();
+        let answers = async {
+            let answer = client.answer().await;
+            (answer.status(), sent.elapsed())
+        };
+        let attempt = async {
+            tokio::time::sleep(GOES_BY).await;
+            let gone = sent.elapsed();
+            // The system tries the connect again a second after its beginning.
+            let mut stream = choked.next().await;
+            let message = soon("the attempt", read_message(&mut stream, 0)).await;
+            (stream, message, gone)
+        };
+        let ((status, took), (_stream, attempt, gone)) = tokio::join!(answers, attempt);
+        let held_up = hold_ups.longest();
+        if held_up > HOLD_UP || attempt.is_none() {
+            continue;
+        }
+        let told = told(&attempt.expect("some"));
+        assert!(told <= SHORT - gone, "told {told:?} after {gone:?} of {SHORT:?}");
+        assert!(took < SHORT + LATE_MOST, "answered {status} after {took:?} of {SHORT:?}");
+        return;
+    }
+    panic!("the machine held every round up");
+}
