--- a/agent/src/application/server.rs
+++ b/agent/src/application/server.rs
@@ -164,7 +164,7 @@
                 biased;
                 _ = connection.as_mut() => return,
                 () = pace.overdue() => {
-                    if !pace.rests() || socket.quiet() {
+                    if pace.stuck() || socket.quiet() {
                         return;
                     }
                     // The runtime has not heard of it yet.
--- a/agent/src/application/server/tests.rs
+++ b/agent/src/application/server/tests.rs
@@ -121,6 +121,38 @@
         .await;
 }
 
+/// The time for a head ends in the moment in which its last bytes come: it is heard, on a new connection and on one that
+/// has been used.
+#[tokio::test(start_paused = true)]
+async fn a_head_that_ends_as_its_time_does_is_answered() {
+    const BEFORE: Duration = Duration::from_millis(2790);
+    const READY: &[u8] = b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n";
+    let (first, rest) = READY.split_at(READY.len() / 2);
+    let config = config("head", "null");
+    let local = tokio::task::LocalSet::new();
+    local
+        .run_until(async {
+            let server = Server::new(Driver::start(config, 8).expect("a driver"), 64);
+            for round in 0..32 {
+                let (ours, mut theirs) = without_options().expect("a pair");
+                let place = server.places.clone().try_acquire_owned().expect("a place");
+                tokio::task::spawn_local(server.clone().connection(ours, place));
+                let mut answer = vec![0; 256];
+                for used in [false, true] {
+                    theirs.write_all(first).await.expect("sent");
+                    // It has been read when the clock has moved by itself.
+                    tokio::time::sleep(Duration::from_millis(1)).await;
+                    tokio::time::advance(BEFORE).await;
+                    theirs.try_write(rest).expect("sent");
+                    tokio::time::advance(BEFORE).await;
+                    let read = theirs.read(&mut answer).await.expect("an answer");
+                    assert_ne!(read, 0, "round {round}, used before: {used}");
+                }
+            }
+        })
+        .await;
+}
+
 #[test]
 fn waits_have_a_number_and_a_unit() {
     assert_eq!(wait_of("480m"), Some(Duration::from_millis(480)));
--- a/agent/src/traffic/pace.rs
+++ b/agent/src/traffic/pace.rs
@@ -76,6 +76,11 @@
         !self.busy.get() && self.begun.get().is_none() && self.stuck.get().is_none()
     }
 
+    /// Whether the client does not take what is written to it.
+    pub fn stuck(&self) -> bool {
+        self.stuck.get().is_some()
+    }
+
     /// Whether no request has come yet.
     pub fn fresh(&self) -> bool {
         self.fresh.get()
