--- a/agent/src/application/server.rs
+++ b/agent/src/application/server.rs
@@ -1,10 +1,10 @@
 //! The application's side: takes requests in, checks them, and writes the one answer of each.
 
 use crate::driver::requests::{Answer, Arrival, Content};
-use crate::driver::Driver;
+use crate::driver::{Driver, ANSWER_TURNS};
 use crate::renderers::upstream::{forwarded, Served};
 use crate::traffic::body::{Hold, Intake, Reply, Unread, BUFFER, KEPT_MOST, REQUEST_MOST};
-use crate::traffic::pace::{Asked, Pace, Patience, Timed};
+use crate::traffic::pace::{turns, Asked, Pace, Patience, Timed};
 use crate::traffic::socket::Socket;
 use bytes::BytesMut;
 use http_body_util::BodyExt;
@@ -242,6 +242,7 @@
                 None => sleep_until(deadline + OVERDUE).await,
                 Some(intake) => sleep_until(intake.whole().await + wait + OVERDUE).await,
             }
+            turns(2 * ANSWER_TURNS).await;
         };
         let broken = async {
             match &intake {
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -14,6 +14,7 @@
 use crate::renderers::discovery::{Discovery, Listener, News, STEP};
 use crate::renderers::upstream::{Ended, Progress, Upstream};
 use crate::traffic::body::{Budget, Step};
+use crate::traffic::pace::turns;
 use hyper::StatusCode;
 use micasail::{
     Action, AttemptNo, Balancer, Effect, Event, Fleet, Lessons, ListUpdate, Outcome, RequestId, ServerId,
@@ -34,6 +35,9 @@
 /// Idle connections are looked through this often.
 const SWEEP: Duration = Duration::from_millis(500);
 
+/// Turns of the runtime from an answer at a socket to the attempt that waits for it, and some to spare.
+pub const ANSWER_TURNS: u32 = 8;
+
 struct State {
     queue: Queue,
     requests: Requests,
@@ -473,6 +477,7 @@
                     None => sleep_until(until).await,
                     Some(upload) => sleep_until(upload.whole().await + wait).await,
                 }
+                turns(ANSWER_TURNS).await;
             };
             // Its connection may have taken a good part of the wait to come up: what is told is what is left by then.
             let begin = || {
--- a/agent/src/traffic/pace.rs
+++ b/agent/src/traffic/pace.rs
@@ -11,6 +11,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 use tokio::sync::Notify;
+use tokio::task::yield_now;
 use tokio::time::{sleep_until, Instant};
 
 /// A connection over which nothing comes for this long is closed: the terms allow it from 2 s without a request on.
@@ -28,6 +29,14 @@
 /// How often a connection in work is looked after.
 const LOOK: Duration = Duration::from_secs(10);
 
+/// Lets what is ready by now be handled first: an answer that has come by a time-out needs some turns of the runtime, from
+/// the socket to the one who waits for it, and no time.
+pub async fn turns(turns: u32) {
+    for _ in 0..turns {
+        yield_now().await;
+    }
+}
+
 /// Where a client's connection stands.
 pub struct Pace {
     opened: Instant,
--- a/agent/tests/attempts.rs
+++ b/agent/tests/attempts.rs
@@ -333,6 +333,30 @@
     assert_eq!(message.first_line(), "GET /read/next HTTP/1.1");
 }
 
+/// The agent is held up while an answer comes and the time for it ends, and finds both when it goes on: the answer counts,
+/// with a body and without one.
+#[tokio::test]
+async fn an_answer_counts_that_is_found_together_with_its_time_out() {
+    const WAIT: Duration = Duration::from_millis(1000);
+    for body in ["", "x"] {
+        let word = Arc::new(Notify::new());
+        let gate = word.clone();
+        let mut backend = Backend::start(move |_| Reply::When(gate.clone(), ok(body))).await;
+        let (_directory, agent) = world(&[&backend]).await;
+        let mut client = agent.client().await;
+        client.send(&request("POST", "/pay", "1000m", "b")).await;
+        let sent = Instant::now();
+        backend.next().await;
+        agent.signal("-STOP").await;
+        let in_time = sent.elapsed() < WAIT / 2;
+        word.notify_one();
+        tokio::time::sleep((WAIT * 2).saturating_sub(sent.elapsed())).await;
+        agent.signal("-CONT").await;
+        let status = client.answer().await.status();
+        assert!(status == 200 || !in_time, "{status}, with the body {body:?}");
+    }
+}
+
 /// What the balancer gives up is answered at once, and a client that the settings allow advice is told when to
 /// come back.
 #[tokio::test]
--- a/agent/tests/common/mod.rs
+++ b/agent/tests/common/mod.rs
@@ -181,7 +181,7 @@
         self.hang_up().await;
     }
 
-    async fn signal(&self, signal: &str) {
+    pub async fn signal(&self, signal: &str) {
         let id = self.child.id().expect("it runs").to_string();
         let sent = Command::new("kill").args([signal, &id]).status().await.expect("kill runs");
         assert!(sent.success());
--- a/agent/tests/time_left.rs
+++ b/agent/tests/time_left.rs
@@ -8,7 +8,6 @@
 use hold_ups::HoldUps;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tokio::process::Command;
 use tokio::sync::Notify;
 
 /// How long the clients wait.
@@ -34,11 +33,6 @@
     format!("{}m", WAIT.as_millis())
 }
 
-async fn signal(agent: &Agent, signal: &str) {
-    let id = agent.child.id().expect("it runs").to_string();
-    assert!(Command::new("kill").args([signal, &id]).status().await.expect("kill runs").success());
-}
-
 /// The first attempt fails late, and the agent is held up just then: what its retry tells is what is left after both.
 #[tokio::test]
 async fn a_retry_tells_what_is_left_after_a_late_failure_and_a_hold_up() {
@@ -59,11 +53,11 @@
     let first = backend.next().await;
     assert!(told(&first) <= WAIT);
     tokio::time::sleep(GOES_BY).await;
-    signal(&agent, "-STOP").await;
+    agent.signal("-STOP").await;
     word.notify_one();
     tokio::time::sleep(HOLD_UP).await;
     let gone = sent.elapsed();
-    signal(&agent, "-CONT").await;
+    agent.signal("-CONT").await;
     let retry = told(&backend.next().await);
     assert!(retry <= WAIT - gone, "told {retry:?} after {gone:?} of {WAIT:?}");
     assert!(retry > WAIT / 2, "told {retry:?}");
