--- a/agent/tests/leaving.rs
+++ b/agent/tests/leaving.rs
@@ -5,6 +5,7 @@
 use common::*;
 use serde_json::Value;
 use std::sync::Arc;
+use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::sync::Notify;
 
@@ -49,6 +50,8 @@
     }
 }
 
+/// An agent may be held up for so long at any moment.
+const HOLD_UP: Duration = Duration::from_millis(150);
 /// An aim by which a request may wait in the queue for long.
 const LONG_AIM: u64 = 20_000;
 
@@ -135,6 +138,39 @@
     }
 }
 
+/// The agent is held up while an attempt is turned away and its client leaves, and finds both when it goes on: no retry
+/// begins, in whichever order they came.
+#[tokio::test]
+async fn no_retry_is_sent_for_a_client_that_left_while_the_agent_was_held_up() {
+    for (way, first) in WAYS.iter().flat_map(|way| [(*way, "the client"), (*way, "the answer")]) {
+        let word = Arc::new(Notify::new());
+        let gate = word.clone();
+        let rejection = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
+        let mut backend = Backend::start(move |message| match message.head.contains("left") {
+            true => Reply::When(gate.clone(), rejection.to_vec()),
+            false => Reply::Bytes(ok("x")),
+        })
+        .await;
+        let both = ["s", "t"].map(|name| host(name, backend.address, "up"));
+        let (_directory, mut agent) = patient(&both, LONG_AIM).await;
+        let mut client = agent.client().await;
+        client.send(&request("POST", "/pay/left", WAIT, "")).await;
+        backend.next().await;
+        agent.signal("-STOP").await;
+        if first == "the answer" {
+            word.notify_one();
+            tokio::time::sleep(HOLD_UP / 2).await;
+        }
+        let _rest = way.by(client).await;
+        word.notify_one();
+        tokio::time::sleep(HOLD_UP).await;
+        agent.signal("-CONT").await;
+        has_left(&mut agent).await;
+        ask_next(&agent).await;
+        assert_eq!(backend.next().await.first_line(), "GET /read/next HTTP/1.1", "{way:?}, {first} first");
+    }
+}
+
 /// A connection to a renderer comes up after the client has left, for a small body and for one that is still coming.
 #[tokio::test]
 async fn nothing_is_sent_for_a_client_that_left_while_connecting() {
