--- a/agent/src/application/server.rs
+++ b/agent/src/application/server.rs
@@ -1,12 +1,12 @@
 //! The application's side: takes requests in, checks them, and writes the one answer of each.
 
 use crate::driver::requests::{Answer, Arrival, Content};
-use crate::driver::Driver;
+use crate::driver::{Driver, ANSWER_TURNS};
 use crate::renderers::upstream::{forwarded, Served};
 use crate::traffic::body::{Hold, Intake, Reply, Unread, BUFFER, KEPT_MOST, REQUEST_MOST};
 use crate::traffic::errors::{concerns_one_connection, is_shortage};
 use crate::traffic::lingering::Lingering;
-use crate::traffic::pace::{Asked, Pace, Patience, Timed};
+use crate::traffic::pace::{turns, Asked, Pace, Patience, Timed};
 use crate::traffic::socket::Socket;
 use bytes::BytesMut;
 use http_body_util::BodyExt;
@@ -62,8 +62,8 @@
     driver: Rc<Driver>,
     stay: watch::Sender<Stay>,
     open: Cell<usize>,
-    /// What comes from now on has to be answered by then, whatever its client would wait.
-    last: Cell<Option<Instant>>,
+    /// Once the process has been told to end: every request has to be answered by then, whatever its client would wait.
+    answer_by: watch::Sender<Option<Instant>>,
     places: std::sync::Arc<Semaphore>,
     lingering: Lingering,
 }
@@ -75,7 +75,7 @@
             driver,
             stay: watch::Sender::new(Stay::On),
             open: Cell::new(0),
-            last: Cell::new(None),
+            answer_by: watch::Sender::new(None),
             places: std::sync::Arc::new(Semaphore::new(connections)),
             lingering: Lingering::default(),
         })
@@ -139,9 +139,9 @@
         tokio::task::spawn_local(self.clone().connection(stream, place));
     }
 
-    /// Says `Connection: close` from now on and closes what rests. All is answered by `last`.
-    pub fn drain(&self, last: Instant) {
-        self.last.set(Some(last));
+    /// Says `Connection: close` from now on and closes what rests. All is answered by `answer_by`.
+    pub fn drain(&self, answer_by: Instant) {
+        self.answer_by.send_replace(Some(answer_by));
         self.leave(Stay::Ends);
     }
 
@@ -151,9 +151,9 @@
     }
 
     /// Answers what is open and the next request of each connection, as another process takes the new ones. All is
-    /// answered by `last`.
-    pub fn hand_over(&self, last: Instant) {
-        self.last.set(Some(last));
+    /// answered by `answer_by`.
+    pub fn hand_over(&self, answer_by: Instant) {
+        self.answer_by.send_replace(Some(answer_by));
         self.leave(Stay::HandedOver);
     }
 
@@ -197,7 +197,7 @@
                 biased;
                 _ = connection.as_mut() => return,
                 () = pace.overdue() => {
-                    if !pace.rests() || socket.quiet() {
+                    if pace.stuck() || socket.quiet() {
                         return;
                     }
                     // The runtime has not heard of it yet.
@@ -275,6 +275,7 @@
                 None => sleep_until(deadline + OVERDUE).await,
                 Some(intake) => sleep_until(intake.whole().await + wait + OVERDUE).await,
             }
+            turns(2 * ANSWER_TURNS).await;
         };
         let broken = async {
             match &intake {
@@ -288,6 +289,7 @@
             why = broken => return Err(unread(why)),
             answer = answer => answer.map_or_else(|_| plain(StatusCode::BAD_GATEWAY, "no answer was decided"), word),
             () = over => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
+            () = self.shutdown_due(intake.as_deref()) => plain(StatusCode::GATEWAY_TIMEOUT, "the agent ends"),
         };
         if let Some(intake) = intake.filter(|intake| intake.whole_at().is_none()) {
             tokio::task::spawn_local(intake.discard());
@@ -295,41 +297,74 @@
         Ok(answer)
     }
 
-    /// Reads a small body whole, and so much of another one that it shows.
+    /// Ends when a request has to be answered because the process may be killed soon. One whose body is still coming is
+    /// not owed an answer yet.
+    async fn shutdown_due(&self, body: Option<&Intake>) {
+        let mut answer_by = self.answer_by.subscribe();
+        let due = answer_by.wait_for(Option::is_some).await.ok().and_then(|due| *due);
+        if let Some(due) = due {
+            sleep_until(due).await;
+            if body.is_none_or(|body| body.whole_at().is_some()) {
+                return;
+            }
+        }
+        std::future::pending().await
+    }
+
+    /// Reads a small body whole, and so much of another one that it shows. The error is the answer to a bad one.
     async fn collect(
         &self,
         mut body: Incoming,
         mut patience: Patience,
         expects: bool,
-    ) -> Result<Content, Unread> {
+        wait: Duration,
+    ) -> Result<Collected, Response<Reply>> {
         let hint = body.size_hint();
         if hint.lower() > REQUEST_MOST {
-            return Err(Unread::Long);
+            return Err(unread(Unread::Long));
         }
         let mut kept = BytesMut::new();
+        let mut waited = Duration::ZERO;
         if hint.lower() <= KEPT_MOST as u64 {
             let most = hint.exact().map_or(KEPT_MOST, |length| length as usize);
-            let hold = self.room(self.driver.budget.request(most), &patience).await?;
+            let room = self.room(self.driver.budget.request(most), &patience, wait).await?;
+            waited = room.waited;
             while kept.len() <= KEPT_MOST {
-                let frame = timeout_at(patience.due(), body.frame()).await.map_err(|_| Unread::Late)?;
+                let frame =
+                    timeout_at(patience.due(), body.frame()).await.map_err(|_| unread(Unread::Late))?;
                 let Some(frame) = frame else {
-                    return Ok(Content::Kept { bytes: kept.freeze(), _hold: hold });
+                    let content = Content::Kept { bytes: kept.freeze(), _hold: room.hold };
+                    return Ok(Collected { content, waited });
                 };
-                let Ok(bytes) = frame.map_err(|_| Unread::Broken)?.into_data() else { continue };
+                let Ok(bytes) = frame.map_err(|_| unread(Unread::Broken))?.into_data() else { continue };
                 patience.came(bytes.len());
                 kept.extend_from_slice(&bytes);
             }
         }
-        let hold = self.room(self.driver.budget.uploading(), &patience).await?;
-        Ok(Content::Passed(Intake::new(kept.freeze(), body, patience, expects, hold)))
+        let room = self.room(self.driver.budget.uploading(), &patience, wait.saturating_sub(waited)).await?;
+        waited += room.waited;
+        let came = Instant::now() - waited;
+        let content = Content::Passed(Intake::new(kept.freeze(), body, patience, expects, room.hold, came));
+        Ok(Collected { content, waited })
     }
 
+    /// Waits for room for a body, for as long as its client waits and the body has time to come. The error is the answer
+    /// when there is none.
     async fn room(
         &self,
         room: impl Future<Output = std::io::Result<Hold>>,
         patience: &Patience,
-    ) -> Result<Hold, Unread> {
-        timeout_at(patience.due(), room).await.map_err(|_| Unread::Late)?.map_err(|_| Unread::Broken)
+        wait: Duration,
+    ) -> Result<Room, Response<Reply>> {
+        let asked = Instant::now();
+        let due = patience.due().min(asked + wait.saturating_sub(ANSWER_ROOM));
+        let hold = tokio::select! {
+            biased;
+            hold = timeout_at(due, room) => hold.ok().and_then(Result::ok),
+            () = self.shutdown_due(None) => None,
+        };
+        let hold = hold.ok_or_else(|| plain(StatusCode::SERVICE_UNAVAILABLE, "no room for the body"))?;
+        Ok(Room { hold, waited: asked.elapsed() })
     }
 
     /// Reads a request whole; the error is the answer to a bad one.
@@ -370,11 +405,12 @@
             return Err(bad("this class needs an Idempotency-Key"));
         }
         let expects = head.headers.contains_key(EXPECT);
-        let body = self.collect(body, patience, expects).await.map_err(unread)?;
-        let came = Instant::now();
+        let body = self.collect(body, patience, expects, wait).await?;
+        // While the body waited for room its client may have sent all of it, and its time went by.
+        let came = Instant::now() - body.waited;
         let room = ANSWER_ROOM.min(wait / 4);
-        let wait = match self.last.get() {
-            Some(last) => wait.min(last.saturating_duration_since(came)).max(room),
+        let wait = match *self.answer_by.borrow() {
+            Some(answer_by) => wait.min(answer_by.saturating_duration_since(came)).max(room),
             None => wait,
         };
         let query = head.uri.query().unwrap_or_default();
@@ -392,11 +428,25 @@
             headers: forwarded(&head.headers),
             method: head.method,
             uri: head.uri,
-            body,
+            body: body.content,
         })
     }
 }
 
+/// A body, as far as it is kept.
+struct Collected {
+    content: Content,
+    /// How long it has waited for room altogether.
+    waited: Duration,
+}
+
+/// Room for a body.
+struct Room {
+    hold: Hold,
+    /// How long the body has waited for it.
+    waited: Duration,
+}
+
 /// Counts something for as long as it lasts.
 struct Counted<'a>(&'a Cell<usize>);
 
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -15,6 +15,7 @@
 use crate::renderers::discovery::{Discovery, Listener, News, STEP};
 use crate::renderers::upstream::{Ended, Progress, Upstream};
 use crate::traffic::body::{Budget, Step};
+use crate::traffic::pace::turns;
 use clock::{Clock, WallClock};
 use hyper::StatusCode;
 use micasail::{
@@ -36,6 +37,9 @@
 /// Idle connections are looked through this often.
 const SWEEP: Duration = Duration::from_millis(500);
 
+/// Turns of the runtime from an answer at a socket to the attempt that waits for it, and some to spare.
+pub const ANSWER_TURNS: u32 = 8;
+
 struct State {
     queue: Queue,
     requests: Requests,
@@ -315,7 +319,9 @@
                 Step::Spent => Event::Spent { request: id },
                 Step::Whole => {
                     open.taken.whole();
-                    let time_left = Span(open.parts.wait().as_micros() as u64);
+                    let whole_at = open.parts.intake().and_then(|intake| intake.whole_at());
+                    let spent = whole_at.map_or(Duration::ZERO, |whole| whole.elapsed());
+                    let time_left = Span(open.parts.wait().saturating_sub(spent).as_micros() as u64);
                     Event::Uploaded { request: id, time_left }
                 }
             };
@@ -497,6 +503,7 @@
                     None => sleep_until(until).await,
                     Some(upload) => upload.over(wait).await,
                 }
+                turns(ANSWER_TURNS).await;
             };
             // Its connection may have taken a good part of the wait to come up: what is told is what is left by then.
             let begin = || {
@@ -505,7 +512,10 @@
                     let balancer = &driver.state.borrow().queue.balancer;
                     balancer.may_begin(driver.clock.at(now), request, AttemptNo(attempt))
                 };
-                let left = if upload.is_some() { wait } else { until.saturating_duration_since(now) };
+                let left = match &upload {
+                    None => until.saturating_duration_since(now),
+                    Some(upload) => wait.saturating_sub(upload.unread()),
+                };
                 may_begin.then(|| outgoing(&parts, left))
             };
             let ended = driver.upstream.attempt(server, begin, parts.intake(), over, &progress).await;
