--- a/agent/src/traffic/socket.rs
+++ b/agent/src/traffic/socket.rs
@@ -63,7 +63,7 @@
                 match self.0.try_read(&mut piece) {
                     Ok(0) => return,
                     Ok(_) => yield_now().await,
-                    Err(why) if why.kind() == io::ErrorKind::WouldBlock => {}
+                    Err(why) if comes_again(&why) => {}
                     Err(_) => return,
                 }
             }
@@ -78,7 +78,7 @@
         loop {
             ready!(self.0.poll_read_ready(cx))?;
             match self.0.try_read_buf(buf) {
-                Err(why) if why.kind() == io::ErrorKind::WouldBlock => {}
+                Err(why) if comes_again(&why) => {}
                 done => return Poll::Ready(done.map(drop)),
             }
         }
@@ -94,7 +94,7 @@
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             match write(&self.0) {
-                Err(why) if why.kind() == io::ErrorKind::WouldBlock => {}
+                Err(why) if comes_again(&why) => {}
                 done => return Poll::Ready(done),
             }
         }
@@ -127,5 +127,10 @@
     }
 }
 
+/// Whether a transfer is to be asked for again: it would have waited, or a signal came in between.
+fn comes_again(error: &io::Error) -> bool {
+    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
+}
+
 #[cfg(test)]
 mod tests;
--- a/agent/tests/syscall_storms.rs
+++ b/agent/tests/syscall_storms.rs
@@ -202,3 +202,8 @@
                   write ETIMEDOUT one-in=50";
     storms(faults).await;
 }
+
+#[tokio::test]
+async fn transfers_are_interrupted() {
+    all_are_served(&storms("read,write EINTR one-in=20").await);
+}
