--- /dev/null
+++ b/lab/src/exit.rs
@@ -0,0 +1,12 @@
+//! Exit codes of the lab's commands, as `docs/proving-ground.md` lists them.
+
+/// All that was expected held.
+pub const HELD: u8 = 0;
+/// Something that was expected did not hold.
+pub const FELL_SHORT: u8 = 1;
+/// Bad input, or an agent that does not start.
+pub const BAD_INPUT: u8 = 2;
+/// No verdict: the lab itself ran late.
+pub const LATE: u8 = 3;
+/// Broken off by Ctrl-C or SIGTERM.
+pub const BROKEN_OFF: u8 = 130;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -3,22 +3,18 @@
 
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use micasail_lab::plan::{self, Plan};
+use micasail_lab::exit::{BAD_INPUT, BROKEN_OFF, FELL_SHORT, HELD, LATE};
+use micasail_lab::folder::PlayFolder;
 use micasail_lab::play::{self, End, Stage, Tick};
 use micasail_lab::result::Played;
 use micasail_lab::scenario::{self, Scenario};
-use micasail_lab::{saturate, scale, sweep, table};
-use std::path::{Path, PathBuf};
+use micasail_lab::scenario_args::ScenarioArgs;
+use micasail_lab::{saturate, scale, size_check, sweep, table};
+use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
 
-const HELD: u8 = 0;
-const FELL_SHORT: u8 = 1;
-const BAD_INPUT: u8 = 2;
-const LATE: u8 = 3;
-const BROKEN_OFF: u8 = 130;
-
 /// Plays real agents between stand-ins for renderers, discovery, clients and the network, and judges them.
 #[derive(Parser)]
 #[command(name = "lab", version, max_term_width = 100)]
@@ -41,6 +37,8 @@
     Sweep(SweepArgs),
     /// Pairs the plays of two sweeps by point and seed, and says how they differ
     Compare(Compare),
+    /// Holds what an agent needs beside many times the renderers against what the operators allow
+    SizeCheck(size_check::Args),
     /// Finds what an agent on one core bears and costs, beside a bare relay
     Saturate(Saturate),
     /// Works out the tables of docs/CAPACITY.md, or holds the page against them
@@ -56,22 +54,10 @@
     Hollow(scale::hollow::Args),
 }
 
-#[derive(Args)]
-struct Which {
-    /// A scenario of `lab list`, or a file
-    scenario: String,
-    /// Replaces a key of the scenario, as in `load=0.7` or `agents.count=8`
-    #[arg(long = "set", value_name = "KEY=VALUE", value_parser = pair)]
-    sets: Vec<(String, String)>,
-    /// Fixes arrivals and faults; the scenario's own if absent
-    #[arg(long)]
-    seed: Option<u64>,
-}
-
 #[derive(Args)]
 struct Run {
     #[command(flatten)]
-    which: Which,
+    which: ScenarioArgs,
     /// The agent's program; `bellcroft` beside this one if absent
     #[arg(long, value_name = "PATH")]
     agent: Option<PathBuf>,
@@ -86,7 +72,7 @@
 #[derive(Args)]
 struct Up {
     #[command(flatten)]
-    which: Which,
+    which: ScenarioArgs,
     /// The agent's program; `bellcroft` beside this one if absent
     #[arg(long, value_name = "PATH")]
     agent: Option<PathBuf>,
@@ -98,7 +84,7 @@
 #[derive(Args)]
 struct Check {
     #[command(flatten)]
-    which: Which,
+    which: ScenarioArgs,
     /// Prints the plan as JSON
     #[arg(long)]
     plan: bool,
@@ -170,11 +156,6 @@
     slopes: Option<PathBuf>,
 }
 
-fn pair(text: &str) -> Result<(String, String), String> {
-    let (key, value) = text.split_once('=').ok_or("KEY=VALUE was expected")?;
-    Ok((key.to_owned(), value.to_owned()))
-}
-
 /// Writes to standard output; whoever reads it may have heard enough and left, which is no reason to panic.
 fn say(text: &str) {
     use std::io::Write;
@@ -193,6 +174,7 @@
         }
         Command::Sweep(args) => sweep(&args),
         Command::Compare(args) => compare(&args),
+        Command::SizeCheck(args) => on_runtime(size_check::run(args, stopped)),
         Command::Saturate(args) => saturate(&args),
         Command::Capacity(args) => micasail_lab::capacity::run(&args),
         Command::Scale(which) => on_runtime(scale(which)),
@@ -225,12 +207,6 @@
     runtime.map_err(|e| format!("cannot start the runtime: {e}"))?.block_on(work)
 }
 
-fn planned(which: &Which) -> Result<(Scenario, Plan), String> {
-    let (name, scenario) = scenario::find(&which.scenario, &which.sets).map_err(|e| e.to_string())?;
-    let plan = plan::plan(&name, &scenario, which.seed.unwrap_or(scenario.seed));
-    Ok((scenario, plan))
-}
-
 fn list() {
     for (name, text) in scenario::BUILT_IN {
         let about = scenario::read(name, text, &[]).map_or_else(|e| e.to_string(), |s| s.about);
@@ -239,7 +215,7 @@
 }
 
 fn check(args: &Check) -> Result<u8, String> {
-    let (_, plan) = planned(&args.which)?;
+    let (_, plan) = args.which.planned()?;
     if args.plan {
         say(&(serde_json::to_string(&plan).map_err(|e| e.to_string())? + "\n"));
     } else {
@@ -299,20 +275,13 @@
     }
 }
 
-fn write(folder: &Path, name: &str, text: &str) -> Result<(), String> {
-    let file = folder.join(name);
-    std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))
-}
-
 async fn run(args: Run) -> Result<u8, String> {
-    let (scenario, plan) = planned(&args.which)?;
+    let (scenario, plan) = args.which.planned()?;
     let plan = Arc::new(plan);
     let program = play::program(args.agent.as_deref())?;
     let default = || PathBuf::from("target/lab").join(format!("{}-{}", plan.scenario, plan.seed));
     let out = args.out.unwrap_or_else(default);
-    let logs = out.join("agents");
-    std::fs::create_dir_all(&logs).map_err(|e| format!("{}: {e}", logs.display()))?;
-    write(&out, "plan.json", &serde_json::to_string(&*plan).map_err(|e| e.to_string())?)?;
+    let folder = PlayFolder::create(&out, &plan)?;
     if !args.quiet {
         say(&table::plan(&plan));
     }
@@ -331,18 +300,14 @@
     };
     #[cfg(debug_assertions)]
     panic_if_asked();
-    let played = play::play(plan.clone(), &program, &logs, stopped(), tell).await;
+    let end = play::play(plan.clone(), &program, &folder.logs(), stopped(), tell).await;
     bar.finish_and_clear();
-    let End { played, breaches, broken_off } = played?;
-    write(&out, "result.json", &serde_json::to_string_pretty(&played).map_err(|e| e.to_string())?)?;
-    write(
-        &out,
-        "report.html",
-        &micasail_lab::report::html(&plan, &played, &breaches, broken_off.as_deref()),
-    )?;
+    let end = end?;
+    folder.write_end(&plan, &end)?;
+    let End { played, breaches, broken_off } = end;
     if !args.quiet {
         say(&table::played(&played));
-        say(&format!("report: {}\n", out.join("report.html").display()));
+        say(&format!("report: {}\n", folder.report().display()));
     }
     for breach in &breaches {
         eprintln!("lab: rule broken at {:.3} s: {}", breach.at_us as f64 / 1e6, breach.what);
@@ -370,7 +335,7 @@
 }
 
 async fn up(args: Up) -> Result<u8, String> {
-    let (_, plan) = planned(&args.which)?;
+    let (_, plan) = args.which.planned()?;
     let plan = Arc::new(plan);
     let program = play::program(args.agent.as_deref())?;
     let folder = tempfile::tempdir().map_err(|e| format!("no folder for the agents: {e}"))?;
--- a/lab/src/play.rs
+++ b/lab/src/play.rs
@@ -167,11 +167,13 @@
         cpu_s: own_cpu_s() - own_before,
         samples: Vec::new(),
         connections: clients.connections(),
+        list_bytes: 0,
     };
     faults.iter().for_each(JoinHandle::abort);
     let stage = Stage { world: world.clone(), agents, tasks };
     let used = stage.take_down().await;
     let ledger = world.ledger();
+    own.list_bytes = world.directory.list_bytes();
     own.samples = std::mem::take(&mut *crate::lock(&looked));
     let played = result::sum_up(&plan, &ledger, used, own);
     Ok(End { played, breaches: ledger.breaches.clone(), broken_off })
--- a/lab/src/result.rs
+++ b/lab/src/result.rs
@@ -129,6 +129,8 @@
     pub client_connections: u64,
     /// Connections that agents opened to renderers.
     pub renderer_connections: u64,
+    /// Bytes of the lists that discovery answered all agents with.
+    pub list_bytes: u64,
     /// Attempts by zone of the agent and zone of the renderer.
     pub traffic: Vec<Vec<u64>>,
     /// Each renderer every [`SAMPLE_S`], for the report alone.
@@ -190,6 +192,8 @@
     pub samples: Vec<Vec<Sample>>,
     /// Connections that its clients opened.
     pub connections: usize,
+    /// Bytes of the lists that its discovery answered with.
+    pub list_bytes: u64,
 }
 
 /// Sums a play up.
@@ -319,6 +323,7 @@
         probes: ledger.probes,
         client_connections: own.connections as u64,
         renderer_connections: ledger.connections,
+        list_bytes: own.list_bytes,
         traffic: ledger.traffic.clone(),
         samples: own.samples,
         agents,
--- a/lab/src/scale/list.rs
+++ b/lab/src/scale/list.rs
@@ -8,7 +8,7 @@
 use crate::draw::Seed;
 use crate::saturate::{cores, free, spawn, stand_in};
 use crate::stage::directory::Health;
-use crate::stage::processes::{is_ready, last_line, memory_mb, scheduled, Scheduled};
+use crate::stage::processes::{is_ready, last_line, memory_mb, peak_memory_mb, scheduled, Scheduled};
 use discovery::{Discovery, Server};
 use indicatif::ProgressBar;
 use probe::{Heard, Pace};
@@ -550,7 +550,7 @@
         self.whole_list(sheet).await?;
         let descriptors = std::fs::read_dir(format!("/proc/{}/fd", self.id())).map_or(0, Iterator::count);
         sheet.descriptors = sheet.descriptors.max(descriptors);
-        sheet.add("list_memory_most_bytes", size, self.memory(memory_most_mb)?);
+        sheet.add("list_memory_most_bytes", size, self.memory(peak_memory_mb)?);
         Ok(())
     }
 
@@ -660,13 +660,6 @@
     tokio::task::spawn_blocking(move || pace.hold()).await.expect("no panic")
 }
 
-/// The most memory that a process has held, in MB.
-fn memory_most_mb(id: u32) -> Option<f64> {
-    let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
-    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
-    Some(line.split_whitespace().next()?.parse::<f64>().ok()? / 1024.0)
-}
-
 /// Single changes: a server is drained, and called back by the next change.
 #[derive(Debug, Clone)]
 struct Changes {
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -23,6 +23,7 @@
     ("agents", include_str!("../scenarios/agents.toml")),
     ("maintenance", include_str!("../scenarios/maintenance.toml")),
     ("scale", include_str!("../scenarios/scale.toml")),
+    ("fleet-size", include_str!("../scenarios/fleet-size.toml")),
 ];
 
 /// Bounds that keep a play within one machine.
@@ -608,8 +609,8 @@
 }
 
 impl Scenario {
-    /// The error names the key, its value and what was expected.
-    fn check(&self) -> Result<(), String> {
+    /// Holds every key against its bounds. The error names the key, its value and what was expected.
+    pub fn check(&self) -> Result<(), String> {
         let within = |key: &str, value: f64, low: f64, high: f64| {
             if value.is_finite() && (low..=high).contains(&value) {
                 Ok(())
--- a/lab/src/stage/directory.rs
+++ b/lab/src/stage/directory.rs
@@ -13,6 +13,7 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -86,6 +87,8 @@
     told: watch::Sender<u64>,
     views: Vec<watch::Sender<View>>,
     spread: Vec<Micros>,
+    /// Bytes of the lists that agents were answered with.
+    list_bytes: AtomicU64,
 }
 
 /// The version of the list before any news.
@@ -101,9 +104,15 @@
             told: watch::Sender::new(0),
             views: plan.agents.iter().map(|_| watch::Sender::new(view)).collect(),
             spread: plan.agents.iter().map(|a| a.spread_us).collect(),
+            list_bytes: AtomicU64::new(0),
         }
     }
 
+    /// Bytes of the lists that all agents were answered with so far, without what HTTP adds.
+    pub fn list_bytes(&self) -> u64 {
+        self.list_bytes.load(Ordering::Relaxed)
+    }
+
     fn news(&self) -> MutexGuard<'_, Vec<News>> {
         crate::lock(&self.news)
     }
@@ -353,7 +362,9 @@
                 _ = told.changed() => {}
             }
         };
-        let mut response = Response::new(Full::new(Bytes::from(list.to_string())));
+        let list = Bytes::from(list.to_string());
+        directory.list_bytes.fetch_add(list.len() as u64, Ordering::Relaxed);
+        let mut response = Response::new(Full::new(list));
         let json = hyper::header::HeaderValue::from_static("application/json");
         response.headers_mut().insert(hyper::header::CONTENT_TYPE, json);
         response
--- a/lab/src/stage/processes.rs
+++ b/lab/src/stage/processes.rs
@@ -40,6 +40,8 @@
     pub cpu_most_in_a_second: f64,
     /// The most memory that its processes held together, in MB.
     pub memory_mb: f64,
+    /// The most that the peaks of its processes (`VmHWM`) came to together, in MB.
+    pub peak_memory_mb: f64,
     /// The most descriptors.
     pub descriptors: u64,
     /// Processes that it ran in.
@@ -264,12 +266,13 @@
     /// Looks at an agent's processes and takes out those that have ended.
     fn sample(&self, agent: usize) {
         let mut held = self.held(agent);
-        let (mut memory, mut descriptors, mut ended, mut crashes) = (0.0, 0, 0.0, Vec::new());
+        let (mut memory, mut peak, mut descriptors, mut ended, mut crashes) = (0.0, 0.0, 0, 0.0, Vec::new());
         held.processes.retain_mut(|process| match process.child.try_wait() {
             Ok(None) => {
                 if let Some(id) = process.child.id() {
                     process.cpu_s = cpu_s(id).unwrap_or(process.cpu_s);
                     memory += memory_mb(id).unwrap_or(0.0);
+                    peak += peak_memory_mb(id).unwrap_or(0.0);
                     descriptors +=
                         std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, |d| d.count() as u64);
                 }
@@ -298,6 +301,7 @@
         let used = &mut held.used;
         used.cpu_s = cpu;
         used.memory_mb = used.memory_mb.max(memory);
+        used.peak_memory_mb = used.peak_memory_mb.max(peak);
         used.descriptors = used.descriptors.max(descriptors);
         used.crashes.extend(crashes);
     }
@@ -445,6 +449,13 @@
     Some(pages.split(' ').nth(1)?.parse::<f64>().ok()? * PAGE_KB / 1024.0)
 }
 
+/// The most memory that a process has held at any time (`VmHWM`), in MB.
+pub fn peak_memory_mb(id: u32) -> Option<f64> {
+    let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
+    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
+    Some(line.split_whitespace().next()?.parse::<f64>().ok()? / 1024.0)
+}
+
 /// Processor time of the lab itself, in seconds.
 pub fn own_cpu_s() -> f64 {
     cpu_s(std::process::id()).unwrap_or(0.0)
