--- a/src/logic.rs
+++ b/src/logic.rs
@@ -216,7 +216,9 @@
                 self.zone_probed(now, s, outcome == Outcome::Success);
                 match report {
                     Some(report) => self.read_report(now, s, &report, PACE_GAIN),
-                    None if outcome != Outcome::Success => self.suspect(now, s, "silent to probes", out),
+                    None if !matches!(outcome, Outcome::Success | Outcome::NotSent) => {
+                        self.suspect(now, s, "silent to probes", out);
+                    }
                     None => {}
                 }
                 self.choose_asked(now, out);
@@ -844,7 +846,9 @@
                 (s.pace, s.samples, s.failures, s.stretch) = (used, 1, 0, 1.0);
             } else if let Some(q) = &mut s.suspicion {
                 q.on_trial = false;
-                q.pause = (q.pause * 2.0).min(TRIAL_MOST);
+                if outcome != Outcome::NotSent {
+                    q.pause = (q.pause * 2.0).min(TRIAL_MOST);
+                }
                 q.next_trial = now + q.pause;
             }
             return;
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -40,7 +40,7 @@
             if self.zone_mute(now, flight.server, flight.sent, out) {
                 return;
             }
-        } else if *outcome == Outcome::ServerError || !lost && *outcome != Outcome::Cancelled {
+        } else if matches!(outcome, Outcome::Success | Outcome::ServerError | Outcome::Rejected) {
             self.zone(zone).heard(now, flight.sent);
         }
         if !well && !lost {
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -181,3 +181,33 @@
     rig.tell(Event::Broke { server: ServerId(99) });
     rig.assert_rules();
 }
+
+/// A trial that the host could not send has tried nothing, so the pause before the next one does not grow by it.
+#[test]
+fn a_trial_that_was_not_sent_says_nothing_of_its_server() {
+    let mut rig = Rig::new(settings(Effect::Idempotent), 11);
+    rig.list(fleet(5, 1, 1));
+    let sick = ServerId(2);
+    serve(
+        &mut rig,
+        5,
+        40,
+        |s| if s == sick { (Outcome::ServerError, 0.2) } else { (Outcome::Success, 30.0) },
+    );
+    let sent = serve(&mut rig, 5, 400, |s| match s == sick {
+        true => (Outcome::NotSent, 0.2),
+        false => (Outcome::Success, 30.0),
+    });
+    assert!(sent[2] > 9, "{sent:?}: pauses that double leave four trials in these 14 s");
+    assert!(sent[2] < 40, "{sent:?}: each pause is still kept");
+}
+
+#[test]
+fn a_probe_that_was_not_sent_says_nothing_of_its_server() {
+    let mut rig = Rig::new(Settings { probes: true, ..settings(Effect::Idempotent) }, 11);
+    rig.list(fleet(5, 1, 1));
+    let probed = |outcome| Event::Probed { server: ServerId(2), outcome, elapsed: Span::ZERO, report: None };
+    let suspects = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Log { .. }));
+    assert!(!suspects(rig.tell(probed(Outcome::NotSent))));
+    assert!(suspects(rig.tell(probed(Outcome::ConnectFailed))));
+}
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -10,6 +10,8 @@
     Answer(f64),
     Error,
     Refuse,
+    /// The host could not send it.
+    NotSent,
     Nothing,
 }
 
@@ -64,6 +66,7 @@
                         }
                         Does::Error => (now + Span::from_ms(1.0), Outcome::ServerError),
                         Does::Refuse => (now + Span::from_ms(1.0), Outcome::ConnectFailed),
+                        Does::NotSent => (now + Span::from_ms(1.0), Outcome::NotSent),
                         _ => (timeout_at, Outcome::TimedOut),
                     };
                     self.count += 1;
@@ -182,6 +185,20 @@
     assert_eq!(steps, ["Away", "Returning", "Returning", "Serving"]);
 }
 
+/// What the host itself could not send has met nobody: it is no sign of life of the zone that it was meant for.
+#[test]
+fn an_attempt_that_was_not_sent_is_no_answer_of_its_zone() {
+    let mut world = four_zones(settings(4), 1);
+    let silent = |s: ServerId, _: usize, at: f64| match s.0 % 4 {
+        1 if (at as u64 / 5) % 2 == 0 => Does::NotSent,
+        1 => Does::Nothing,
+        _ => WELL,
+    };
+    world.play(80, 5.0, silent);
+    assert_eq!(world.phase(1), ZonePhase::Away, "{:?}", world.logs);
+    assert!(world.logs[0].contains("silent"), "{:?}", world.logs);
+}
+
 /// Where probes are allowed, a zone that is away is asked by them, and no request finds out that it is still silent.
 #[test]
 fn a_zone_that_is_away_is_asked_by_probes() {
