--- a/agent/tests/durability.rs
+++ b/agent/tests/durability.rs
@@ -128,7 +128,19 @@
     let pipe = words.with_extension(format!("{}.new", agent.child.id().expect("it runs")));
     let made = Command::new("mkfifo").arg(&pipe).status().await.expect("mkfifo runs");
     assert!(made.success());
-    let answer = agent.call("cordon other").await;
+    let answer = {
+        let mut cordon = std::pin::pin!(agent.call("cordon other"));
+        let other_callers = async {
+            while agent.figures("renderers").await["unsaved"] != 1 {}
+        };
+        // The one that waits for the disk holds up no other one.
+        tokio::select! {
+            biased;
+            answer = &mut cordon => panic!("others waited until it was answered: {answer}"),
+            () = other_callers => {}
+        }
+        cordon.await
+    };
     assert!(answer.starts_with("error it holds in this process alone"), "{answer}");
     assert_eq!(agent.call("uncordon out").await.split(' ').next(), Some("error"));
     assert_eq!(agent.get("/read").await.status(), 200);
