--- a/agent/src/application/server.rs
+++ b/agent/src/application/server.rs
@@ -8,6 +8,8 @@
 use crate::traffic::lingering::Lingering;
 use crate::traffic::pace::{turns, Asked, Pace, Patience, Timed};
 use crate::traffic::socket::Socket;
+use balancer::{ClassId, Effect, KeyId, RequestId, Span, TenantId};
+use balancer_settings::fnv1a;
 use bytes::BytesMut;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -17,8 +19,6 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
-use micasail::{ClassId, Effect, KeyId, RequestId, Span, TenantId};
-use micasail_settings::fnv1a;
 use socket2::SockRef;
 use std::cell::Cell;
 use std::convert::Infallible;
--- a/agent/src/driver/clock.rs
+++ b/agent/src/driver/clock.rs
@@ -4,7 +4,7 @@
 //! a deadline or a time that is already known. Times that come from outside (`born_ms` of the list, the words of another
 //! process) are readings of the wall clock, which may have been stepped since: [`WallClock`] keeps what it showed when.
 
-use micasail::{Span, Time};
+use balancer::{Span, Time};
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -16,13 +16,13 @@
 use crate::renderers::upstream::{Ended, Progress, Upstream};
 use crate::traffic::body::{Budget, Step};
 use crate::traffic::pace::turns;
-use clock::{Clock, WallClock};
-use hyper::StatusCode;
-use micasail::{
+use balancer::{
     Action, AttemptNo, Balancer, Effect, Event, Fleet, Lessons, ListUpdate, Outcome, RequestId, ServerId,
     SettingsError, Span, Status, Time, View, ZoneId,
 };
-use micasail_settings::Names;
+use balancer_settings::Names;
+use clock::{Clock, WallClock};
+use hyper::StatusCode;
 use queue::Queue;
 use requests::{outgoing, Answer, Arrival, Open, Requests};
 use servers::{place, Servers};
@@ -83,7 +83,7 @@
             Duration::from_micros(config.names.keepalive.0),
             config.names.report_fields.clone(),
         ));
-        let pushed = config.settings.discovery == micasail::Discovery::Pushed;
+        let pushed = config.settings.discovery == balancer::Discovery::Pushed;
         let mut balancer = Balancer::new(config.settings, config.seed)?;
         let mut actions = Vec::new();
         balancer.start(clock.now(), &mut actions);
@@ -280,7 +280,7 @@
         let id = {
             let mut state = self.state.borrow_mut();
             let id = state.requests.number();
-            let request = micasail::Request {
+            let request = balancer::Request {
                 id,
                 class: arrival.class,
                 tenant: arrival.tenant,
--- a/agent/src/driver/queue.rs
+++ b/agent/src/driver/queue.rs
@@ -2,7 +2,7 @@
 //! has set.
 
 use super::clock::Clock;
-use micasail::{Action, Balancer, Event, Time, TimerId};
+use balancer::{Action, Balancer, Event, Time, TimerId};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 use tokio::time::Instant;
--- a/agent/src/driver/servers.rs
+++ b/agent/src/driver/servers.rs
@@ -7,8 +7,8 @@
 use super::clock::WallClock;
 use crate::figures::Attempts;
 use crate::list::{Envelope, Health, Host, List, Unread};
-use micasail::{CellId, KindId, Listed, ServerId, Status, Time, ZoneId};
-use micasail_settings::{fnv1a, Names};
+use balancer::{CellId, KindId, Listed, ServerId, Status, Time, ZoneId};
+use balancer_settings::{fnv1a, Names};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/agent/src/driver/servers/tests.rs
+++ b/agent/src/driver/servers/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::driver::clock::Clock;
-use micasail::Span;
+use balancer::Span;
 
 const HOUR: Span = Span(3_600_000_000);
 
@@ -28,7 +28,7 @@
     }
 
     /// Discovery says that a server has started at this reading of the wall clock; what the balancer is told.
-    fn hears(&mut self, born: Time, health: Health) -> Vec<micasail::Listed> {
+    fn hears(&mut self, born: Time, health: Health) -> Vec<balancer::Listed> {
         let host = Host {
             name: "s".into(),
             dial: None,
--- a/agent/src/log/tests.rs
+++ b/agent/src/log/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::figures::End;
-use micasail::ServerId;
+use balancer::ServerId;
 use std::sync::{Mutex, PoisonError};
 
 /// Held by each test that looks at the lines that were left out, of which a process keeps one count.
@@ -141,7 +141,7 @@
     assert!(LEFT_OUT.load(Relaxed) < MANY, "told twice");
 }
 
-/// What a line on a request costs the core that serves: `cargo test --release -p bellcroft --lib -- --ignored
+/// What a line on a request costs the core that serves: `cargo test --release -p balancer-agent --lib -- --ignored
 /// --nocapture line_costs`.
 #[test]
 #[ignore = "a measurement"]
--- a/agent/src/peers/file.rs
+++ b/agent/src/peers/file.rs
@@ -43,7 +43,7 @@
         let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '_' };
         let agent: String = self.agent.chars().map(plain).take(NAME_MOST).collect();
         let zones = self.zones.join("\0");
-        let whole = micasail_settings::fnv1a(&format!("{}\0{}\0{zones}", self.agent, self.listen));
+        let whole = balancer_settings::fnv1a(&format!("{}\0{}\0{zones}", self.agent, self.listen));
         format!("bellcroft-{agent}-{whole:016x}")
     }
 
--- a/agent/src/peers/file/tests.rs
+++ b/agent/src/peers/file/tests.rs
@@ -11,7 +11,7 @@
 impl Folder {
     /// A new one.
     pub fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("bellcroft-{name}-{}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("balancer-agent-{name}-{}", std::process::id()));
         fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
@@ -44,7 +44,7 @@
         own("cordons", 1),
         format!("{}-cordons.json", owner().stem()),
         format!("{}-cordons.x.new", owner().stem()),
-        format!("bellcroft-other-cordons.{ended}.new"),
+        format!("balancer-agent-other-cordons.{ended}.new"),
         format!("note.{ended}.new"),
     ];
     for name in gone.iter().chain(&stay) {
--- a/agent/src/peers/file/tests/earlier_version.rs
+++ b/agent/src/peers/file/tests/earlier_version.rs
@@ -4,7 +4,7 @@
 use crate::peers::cordons::{Cordons, Draft, Word};
 use crate::peers::file::Now;
 use crate::peers::learned::{self, Inheritance};
-use micasail::{Lesson, Lessons, ServerId, Time};
+use balancer::{Lesson, Lessons, ServerId, Time};
 use std::time::Instant;
 
 /// The forms as the version before has them, which refuses any key that it does not know.
--- a/agent/src/peers/learned.rs
+++ b/agent/src/peers/learned.rs
@@ -1,7 +1,7 @@
 //! What a process has learned of its renderers, for the one that takes over from it.
 
 use super::file::{self, Now, Owner, FORM};
-use micasail::{Lesson, Lessons, ServerId, Time};
+use balancer::{Lesson, Lessons, ServerId, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
--- a/agent/tests/clock_steps.rs
+++ b/agent/tests/clock_steps.rs
@@ -15,7 +15,7 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let folder = std::env::temp_dir().join(format!("bellcroft-clock-{name}-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("balancer-agent-clock-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         Folder(folder)
     }
--- a/agent/tests/durability.rs
+++ b/agent/tests/durability.rs
@@ -13,7 +13,8 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let folder = std::env::temp_dir().join(format!("bellcroft-durability-{name}-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("balancer-agent-durability-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         Folder(folder)
     }
@@ -130,9 +131,7 @@
     assert!(made.success());
     let answer = {
         let mut cordon = std::pin::pin!(agent.call("cordon other"));
-        let other_callers = async {
-            while agent.figures("renderers").await["unsaved"] != 1 {}
-        };
+        let other_callers = async { while agent.figures("renderers").await["unsaved"] != 1 {} };
         // The one that waits for the disk holds up no other one.
         tokio::select! {
             biased;
--- a/agent/tests/faults/mod.rs
+++ b/agent/tests/faults/mod.rs
@@ -12,7 +12,7 @@
 
 /// Cargo builds it with the tests, as the package is among what they depend on.
 fn library() -> PathBuf {
-    let programs = Path::new(env!("CARGO_BIN_EXE_bellcroft")).parent().expect("a folder");
+    let programs = Path::new(env!("CARGO_BIN_EXE_balancer-agent")).parent().expect("a folder");
     let library = programs.join("deps").join(LIBRARY);
     assert!(library.exists(), "cargo has not built {}", library.display());
     library
--- a/agent/tests/operator.rs
+++ b/agent/tests/operator.rs
@@ -331,7 +331,7 @@
 async fn a_cordon_that_could_not_be_kept_is_not_done_by_saying_it_again() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
-    let folder = std::env::temp_dir().join(format!("bellcroft-operator-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("balancer-agent-operator-{}", std::process::id()));
     std::fs::create_dir(&folder).expect("a folder");
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
     config["operator"] = "127.0.0.1:0".into();
@@ -397,7 +397,7 @@
     panic!("ten times a request was answered behind all calls");
 }
 
-/// What whole calls of a crowd cost the requests beside them: `cargo test --release -p bellcroft --test operator --
+/// What whole calls of a crowd cost the requests beside them: `cargo test --release -p balancer-agent --test operator --
 /// --ignored --nocapture calls_cost`.
 #[tokio::test]
 #[ignore = "a measurement"]
--- a/lab/src/scenario_args.rs
+++ b/testbed/src/scenario_args.rs
@@ -7,7 +7,7 @@
 /// Which scenario to play, and how.
 #[derive(Debug, Clone, Args)]
 pub struct ScenarioArgs {
-    /// A scenario of `lab list`, or a file
+    /// A scenario of `testbed list`, or a file
     pub scenario: String,
     /// Replaces a key of the scenario, as in `load=0.7` or `agents.count=8`
     #[arg(long = "set", value_name = "KEY=VALUE", value_parser = key_and_value)]
--- a/lab/src/size_check.rs
+++ b/testbed/src/size_check.rs
@@ -25,7 +25,7 @@
     /// So many times the renderers
     #[arg(long, default_value_t = FACTOR, value_parser = clap::value_parser!(u32).range(2..=i64::from(FACTOR_MOST)))]
     factor: u32,
-    /// The agent's program; `bellcroft` beside this one if absent
+    /// The agent's program; `balancer-agent` beside this one if absent
     #[arg(long, value_name = "PATH")]
     agent: Option<PathBuf>,
     /// Where the results go
@@ -161,7 +161,7 @@
     Measure::ALL.into_iter().map(line).collect()
 }
 
-/// The table as it is printed. A check that the lab was too late for has no verdicts.
+/// The table as it is printed. A check that the testbed was too late for has no verdicts.
 pub fn table(lines: &[Line], factor: u32, judged: bool) -> String {
     let enlarged = format!("{factor} times");
     let mut text = format!(
@@ -216,7 +216,7 @@
     let enlarged = enlarged(&usual.scenario, &scenario, &usual, args.factor)?;
     let enlarged = plan::plan(&usual.scenario, &enlarged, usual.seed);
     let program = play::program(args.agent.as_deref())?;
-    let default = || PathBuf::from("target/lab").join(format!("{}-{}-size", usual.scenario, usual.seed));
+    let default = || PathBuf::from("target/testbed").join(format!("{}-{}-size", usual.scenario, usual.seed));
     let out = args.out.unwrap_or_else(default);
     let renderers = enlarged.renderers.len();
     let title = title(&usual, renderers, args.factor);
@@ -225,7 +225,10 @@
     for (name, plan) in [("usual", usual), ("enlarged", enlarged)] {
         let end = play_into(&out.join(name), plan, &program, stopped()).await?;
         if let Some(why) = &end.broken_off {
-            eprintln!("lab: broken off after {:.1} s of the play at {name} size: {why}", end.played.played_s);
+            eprintln!(
+                "testbed: broken off after {:.1} s of the play at {name} size: {why}",
+                end.played.played_s
+            );
             return Ok(exit::BROKEN_OFF);
         }
         ends.push((name, end.played));
@@ -235,11 +238,11 @@
     let late = too_late(&ends, scenario.late_p99_most_ms);
     say(&format!("{title}\n{}", table(&lines, args.factor, late.is_empty())));
     if !late.is_empty() {
-        late.iter().for_each(|line| eprintln!("lab: no verdict: {line}"));
+        late.iter().for_each(|line| eprintln!("testbed: no verdict: {line}"));
         return Ok(exit::LATE);
     }
     let short = falls_short(&lines, &ends, scenario.expect.rules);
-    short.iter().for_each(|line| eprintln!("lab: {line}"));
+    short.iter().for_each(|line| eprintln!("testbed: {line}"));
     Ok(if short.is_empty() { exit::HELD } else { exit::FELL_SHORT })
 }
 
@@ -269,12 +272,12 @@
     )
 }
 
-/// The plays in which the lab itself ran late, a line each.
+/// The plays in which the testbed itself ran late, a line each.
 fn too_late(ends: &[(&str, Played)], late_p99_most_ms: f64) -> Vec<String> {
     let late = ends.iter().filter(|(_, played)| played.late_p99_ms > late_p99_most_ms);
     late.map(|(name, played)| {
         let ms = played.late_p99_ms;
-        format!("at {name} size the lab itself ran late, {ms:.1} ms at the 99th percentile, over {late_p99_most_ms} ms")
+        format!("at {name} size the testbed itself ran late, {ms:.1} ms at the 99th percentile, over {late_p99_most_ms} ms")
     })
     .collect()
 }
--- a/lab/src/size_check/tests.rs
+++ b/testbed/src/size_check/tests.rs
@@ -50,7 +50,7 @@
 #[test]
 fn many_times_the_renderers_keep_capacity_arrivals_agents_and_classes() {
     for name in ["fleet-size", "calm"] {
-        let (name, scenario) = scenario::find(name, &[]).expect("a scenario of the lab");
+        let (name, scenario) = scenario::find(name, &[]).expect("a scenario of the testbed");
         let usual = plan::plan(&name, &scenario, 9917);
         let large = enlarged(&name, &scenario, &usual, 16).expect("a good scenario");
         let large = plan::plan(&name, &large, 9917);
@@ -70,7 +70,7 @@
 
 #[test]
 fn more_renderers_than_the_lab_can_hold_are_one_line() {
-    let (name, scenario) = scenario::find("scale", &[]).expect("a scenario of the lab");
+    let (name, scenario) = scenario::find("scale", &[]).expect("a scenario of the testbed");
     let usual = plan::plan(&name, &scenario, 1);
     let why = enlarged(&name, &scenario, &usual, 16).expect_err("too many");
     assert!(why.starts_with("scale with 16 times the renderers: renderers.count = 960: 1 to 600"), "{why}");
--- a/lab/tests/size_check.rs
+++ b/testbed/tests/size_check.rs
@@ -1,4 +1,4 @@
-//! `lab size-check` on fleets of a few renderers: its table, its files and its exit codes.
+//! `testbed size-check` on fleets of a few renderers: its table, its files and its exit codes.
 #![allow(missing_docs)]
 
 mod support;
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::Output;
-use support::{alone, beside, built, lab, text, wrong};
+use support::{alone, beside, built, testbed, text, wrong};
 
 /// Two renderers and a few light requests.
 const TINY: &str = "about = \"tiny\"\nseconds = 3\nload = 0.02\nlate_p99_most_ms = 100000\n\
@@ -36,7 +36,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (file, out) = (folder.path().join("tiny.toml"), folder.path().join("out"));
     std::fs::write(&file, scenario).expect("a file");
-    let mut command = lab(&["size-check", "--seed", "3", "--factor", factor]);
+    let mut command = testbed(&["size-check", "--seed", "3", "--factor", factor]);
     command.arg(&file).arg("--agent").arg(agent).arg("--out").arg(&out);
     let Output { status, stdout, stderr } = command.output().expect("it runs");
     Checked { code: status.code(), table: text(&stdout), said: text(&stderr), out, _folder: folder }
@@ -45,7 +45,7 @@
 #[test]
 fn the_real_agent_beside_twice_the_renderers_fills_the_table() {
     let _alone = alone();
-    let checked = check(&built("bellcroft"), TINY, "2");
+    let checked = check(&built("balancer-agent"), TINY, "2");
     let Checked { code, table, said, .. } = &checked;
     assert!(table.starts_with("tiny, seed 3: 2 agents"), "{table}{said}");
     assert!(table.contains("2 renderers, and 4 of 1/2 of the speed"), "{table}");
@@ -93,7 +93,7 @@
     let late = TINY.replace("late_p99_most_ms = 100000", "late_p99_most_ms = 0");
     let late = check(&wrong(folder.path(), "right"), &late, "2");
     assert_eq!(late.code, Some(3), "{}", late.said);
-    assert!(late.said.contains("no verdict: at usual size the lab itself ran late"), "{}", late.said);
+    assert!(late.said.contains("no verdict: at usual size the testbed itself ran late"), "{}", late.said);
     assert_eq!(late.table.lines().filter(|row| row.ends_with("none")).count(), 6, "{}", late.table);
 }
 
@@ -106,7 +106,7 @@
         (&["calm", "--set", "agents.count=0"], "agents.count = 0: 1 to 300"),
     ];
     for (args, expected) in cases {
-        let output = lab(&["size-check"]).args(args).output().expect("it runs");
+        let output = testbed(&["size-check"]).args(args).output().expect("it runs");
         let said = text(&output.stderr);
         assert_eq!(output.status.code(), Some(2), "{args:?}: {said}");
         assert!(said.contains(expected) && said.lines().count() == 1, "{args:?}: {said}");
@@ -116,7 +116,7 @@
 #[test]
 fn a_factor_that_enlarges_nothing_is_refused() {
     for factor in ["0", "1", "65", "many"] {
-        let output = lab(&["size-check", "calm", "--factor", factor]).output().expect("it runs");
+        let output = testbed(&["size-check", "calm", "--factor", factor]).output().expect("it runs");
         assert_eq!(output.status.code(), Some(2), "{factor}");
         assert!(text(&output.stderr).contains("--factor"), "{factor}: {}", text(&output.stderr));
     }
--- a/lab/tests/support/mod.rs
+++ b/testbed/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the lab's own program share: the programs that they start, and one play at a time.
+//! What the tests of the testbed's own program share: the programs that they start, and one play at a time.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -38,9 +38,9 @@
     tempfile::Builder::new().prefix("wrong-").tempdir_in(examples).expect("a folder")
 }
 
-/// The lab, told to run this.
-pub fn lab(args: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_lab"));
+/// The testbed, told to run this.
+pub fn testbed(args: &[&str]) -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_testbed"));
     command.args(args).env_remove("CARGO").stdin(Stdio::null());
     command
 }
