--- a/agent/src/staff/words.rs
+++ b/agent/src/admin/commands.rs
@@ -1,13 +1,13 @@
 //! What the staff's calls mean, and what outlives a process of what they said.
 
+use crate::admin::saver::{Saver, Unsaved};
+use crate::admin_api::{Counters, Renderers, Zone, Zones, RENDERERS_MOST, ZONES_MOST};
 use crate::driver::Driver;
-use crate::figures::{self, Attempts};
-use crate::forms::{Counters, Renderers, Zone, Zones, RENDERERS_MOST, ZONES_MOST};
+use crate::metrics::{self, Attempts};
 use crate::peers::cordons::{Cordons, Word};
 use crate::peers::file::{self, Now, Owner};
 use crate::peers::learned::{self, Inheritance};
 use crate::peers::writer::{Outlives, Writer};
-use crate::staff::saver::{Saver, Unsaved};
 use balancer::Time;
 use balancer_settings::Names;
 use std::cell::{Cell, RefCell};
@@ -30,7 +30,7 @@
 }
 
 /// What the staff ask and say.
-pub struct Staff {
+pub struct Admin {
     driver: Rc<Driver>,
     cordons: Rc<RefCell<Cordons>>,
     saver: Rc<Saver>,
@@ -43,7 +43,7 @@
     owner: Owner,
 }
 
-impl Staff {
+impl Admin {
     /// Takes in what has been said to another process of this agent.
     pub fn new(driver: Rc<Driver>, folder: Option<PathBuf>, agent: String, listen: String) -> Rc<Self> {
         let Names { zones, classes, .. } = driver.names.clone();
@@ -59,9 +59,9 @@
             tokio::task::spawn_local(saver.clone().run(cordons.clone(), writer.clone()));
         }
         let keeping = Cell::new(Keeping::Idle);
-        let staff = Staff { driver, cordons, saver, folder, keeping, inheritance, owner };
-        staff.look();
-        Rc::new(staff)
+        let admin = Admin { driver, cordons, saver, folder, keeping, inheritance, owner };
+        admin.look();
+        Rc::new(admin)
     }
 
     /// Whether this process takes clients.
@@ -72,7 +72,7 @@
     /// The figures as the operators read them.
     pub fn counters(&self) -> Counters {
         let fleet = self.driver.fleet();
-        figures::report(&self.driver.counts(), &self.driver.names.classes, fleet.listed, fleet.avoided)
+        metrics::report(&self.driver.counts(), &self.driver.names.classes, fleet.listed, fleet.avoided)
     }
 
     /// The operators' words that would not outlive this process yet.
@@ -172,10 +172,10 @@
 
     fn pass_on(&self, name: &str, out: bool, at: Time) {
         if let Some(zone) = name.strip_prefix(ZONE) {
-            tracing::info!(target: "staff", zone, "the zone is {}", if out { "left" } else { "returned to" });
+            tracing::info!(target: "admin", zone, "the zone is {}", if out { "left" } else { "returned to" });
             return self.driver.zone(zone, out, at);
         }
-        tracing::info!(target: "staff", "{name:.80} is {}", if out { "cordoned" } else { "back" });
+        tracing::info!(target: "admin", "{name:.80} is {}", if out { "cordoned" } else { "back" });
         self.driver.cordon(name, out, at);
     }
 
@@ -209,7 +209,7 @@
         let name = |server| Some(self.driver.name(server)).filter(|name| !name.is_empty());
         let (file, text) = learned::draft(folder, &self.owner, lessons, Now::read(), name);
         self.keeping.set(Keeping::UnderWay { failing });
-        let (staff, writer) = (self.clone(), writer.clone());
+        let (admin, writer) = (self.clone(), writer.clone());
         tokio::task::spawn_local(async move {
             let kept = writer.replace(file, text, Outlives::Process).await;
             match &kept {
@@ -219,7 +219,7 @@
                 Ok(()) if failing => tracing::info!(target: "handover", "what was learned is kept again"),
                 _ => {}
             }
-            staff.keeping.set(if kept.is_ok() { Keeping::Idle } else { Keeping::Failing });
+            admin.keeping.set(if kept.is_ok() { Keeping::Idle } else { Keeping::Failing });
         });
     }
 }
--- a/agent/src/staff/operator.rs
+++ b/agent/src/admin/listener.rs
@@ -1,7 +1,7 @@
-//! The second address, for the operators' staff: one line a connection, one answer. It reads the call and words
-//! the answer; what a call means is [`Staff`]'s to say.
+//! The second address, for the operators' admin: one line a connection, one answer. It reads the call and words
+//! the answer; what a call means is [`Admin`]'s to say.
 
-use super::words::Staff;
+use super::commands::Admin;
 use serde::Serialize;
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -107,10 +107,10 @@
     }
 
     /// Carries a whole call out when it is its turn; nobody's place is needed so much that it would be cut off here.
-    async fn answer(&self, staff: &Rc<Staff>, call: &str) -> String {
+    async fn answer(&self, admin: &Rc<Admin>, call: &str) -> String {
         self.stage.set(Stage::Answering);
         let turn = self.turn.acquire().await;
-        let mut answer = pin!(answer(staff, call));
+        let mut answer = pin!(answer(admin, call));
         // The first step is what takes processor time; a call that goes on waits for the disk, and others have their turn.
         let first_step = poll_fn(|context| Poll::Ready(answer.as_mut().poll(context))).await;
         yield_now().await;
@@ -124,20 +124,20 @@
 
 /// Listens there for as long as the agent runs. An address that is not to be had costs no client its service: it is
 /// asked for again until it is.
-pub async fn listen(staff: Rc<Staff>, address: SocketAddr) {
+pub async fn listen(admin: Rc<Admin>, address: SocketAddr) {
     let mut told = false;
     let listener = loop {
         match TcpListener::bind(address).await {
             Ok(listener) => break listener,
             Err(why) if !told => {
                 told = true;
-                tracing::warn!(target: "staff", "cannot listen on {address} yet: {why}");
+                tracing::warn!(target: "admin", "cannot listen on {address} yet: {why}");
             }
             Err(_) => {}
         }
         sleep(PAUSE).await;
     };
-    tracing::info!(target: "staff", "answers on {}", listener.local_addr().unwrap_or(address));
+    tracing::info!(target: "admin", "answers on {}", listener.local_addr().unwrap_or(address));
     let mut callers = Callers::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -145,12 +145,12 @@
             continue;
         };
         let Some(caller) = callers.admit().await else { return };
-        tokio::task::spawn_local(converse(staff.clone(), stream, caller));
+        tokio::task::spawn_local(converse(admin.clone(), stream, caller));
     }
 }
 
 /// Reads one call and answers it.
-async fn converse(staff: Rc<Staff>, mut stream: TcpStream, mut caller: Caller) {
+async fn converse(admin: Rc<Admin>, mut stream: TcpStream, mut caller: Caller) {
     let crowded_out = async {
         caller.told_to_leave().await;
         // The runtime may not have heard yet of what has come: a call that is whole by now is answered.
@@ -159,7 +159,7 @@
     let answer = tokio::select! {
         biased;
         call = timeout(LINE_WAIT, line(&mut stream)) => match call {
-            Ok(Some(Ok(call))) => caller.answer(&staff, &call).await,
+            Ok(Some(Ok(call))) => caller.answer(&admin, &call).await,
             Ok(Some(Err(why))) => format!("error {why}\n"),
             Ok(None) => return,
             Err(_) => "error no whole line in time\n".to_owned(),
@@ -212,7 +212,7 @@
     }
 }
 
-/// Figures as one line, and the line that says that there is no more.
+/// Metrics as one line, and the line that says that there is no more.
 fn figures(form: &impl Serialize) -> String {
     // These forms have text for keys and nothing that could fail to be written.
     let line = serde_json::to_string(form).unwrap_or_default();
@@ -220,20 +220,20 @@
 }
 
 /// The answer to a call, whole.
-async fn answer(staff: &Rc<Staff>, call: &str) -> String {
+async fn answer(admin: &Rc<Admin>, call: &str) -> String {
     let words: Vec<&str> = call.split_whitespace().collect();
     let answer = match words[..] {
-        ["health"] if staff.serves() => Ok("done".to_owned()),
+        ["health"] if admin.serves() => Ok("done".to_owned()),
         ["health"] => Err("no clients are taken yet".to_owned()),
-        ["counters"] => return figures(&staff.counters()),
-        ["renderers"] => return figures(&staff.renderers()),
-        ["zones"] => return figures(&staff.zones()),
-        [call @ ("cordon" | "uncordon"), id] => match staff.cordon(id, call == "cordon").await {
+        ["counters"] => return figures(&admin.counters()),
+        ["renderers"] => return figures(&admin.renderers()),
+        ["zones"] => return figures(&admin.zones()),
+        [call @ ("cordon" | "uncordon"), id] => match admin.cordon(id, call == "cordon").await {
             Ok(true) => Ok("done".to_owned()),
             Ok(false) => Err(format!("no renderer {id:.80}")),
             Err(why) => Err(format!("it holds in this process alone, an upgrade would forget it: {why}")),
         },
-        ["zone", word @ ("leave" | "return"), name] => match staff.zone(name, word == "leave").await {
+        ["zone", word @ ("leave" | "return"), name] => match admin.zone(name, word == "leave").await {
             Ok(true) => Ok("done".to_owned()),
             Ok(false) => Err(format!("no zone {name:.80}")),
             Err(why) => Err(format!("it holds in this process alone, an upgrade would forget it: {why}")),
--- a/agent/src/staff/mod.rs
+++ b/agent/src/admin/mod.rs
@@ -1,5 +1,5 @@
 //! The staff's side: the second address, and what its calls mean.
 
-pub mod operator;
+pub mod commands;
+pub mod listener;
 pub mod saver;
-pub mod words;
--- a/agent/src/staff/saver.rs
+++ b/agent/src/admin/saver.rs
@@ -95,7 +95,7 @@
                     cordons.borrow_mut().saved(revision);
                     self.progress.send_modify(|progress| progress.saved = revision);
                     if failures > 0 {
-                        tracing::info!(target: "staff", "what the operators have said is on disk, after {failures} failed writes");
+                        tracing::info!(target: "admin", "what the operators have said is on disk, after {failures} failed writes");
                     }
                     failures = 0;
                 }
@@ -119,7 +119,7 @@
 
 fn say_failed(why: &io::Error, unsaved: usize) {
     tracing::warn!(
-        target: "staff",
+        target: "admin",
         "{unsaved} words of the operators are not on disk, an upgrade would forget them: {why}; they are written again until they are"
     );
 }
--- a/agent/src/application/server.rs
+++ b/agent/src/downstream/server.rs
@@ -2,12 +2,12 @@
 
 use crate::driver::requests::{Answer, Arrival, Content};
 use crate::driver::{Driver, ANSWER_TURNS};
-use crate::renderers::upstream::{forwarded, Served};
 use crate::traffic::body::{Hold, Intake, Reply, Unread, BUFFER, KEPT_MOST, REQUEST_MOST};
 use crate::traffic::errors::{concerns_one_connection, is_shortage};
 use crate::traffic::lingering::Lingering;
 use crate::traffic::pace::{turns, Asked, Pace, Patience, Timed};
 use crate::traffic::socket::Socket;
+use crate::upstream::client::{forwarded, Served};
 use balancer::{ClassId, Effect, KeyId, RequestId, Span, TenantId};
 use balancer_settings::fnv1a;
 use bytes::BytesMut;
--- a/agent/src/renderers/mod.rs
+++ b/agent/src/upstream/mod.rs
@@ -1,5 +1,5 @@
 //! The renderers' side: the connections to them, and discovery, which lists them.
 
+pub mod client;
 mod connect;
 pub mod discovery;
-pub mod upstream;
