--- a/agent/src/driver/servers/tests.rs
+++ b/agent/src/driver/servers/tests.rs
@@ -5,17 +5,17 @@
 const HOUR: Span = Span(3_600_000_000);
 
 /// The servers of an agent whose wall clock a test steps.
-struct Listed {
+struct Endpoint {
     clock: Clock,
     wall_clock: Rc<WallClock>,
     servers: Servers,
 }
 
-impl Listed {
+impl Endpoint {
     fn new() -> Self {
         let clock = Clock::start();
         let wall_clock = Rc::new(WallClock::new(clock));
-        Listed { clock, servers: Servers::new(10, wall_clock.clone()), wall_clock }
+        Endpoint { clock, servers: Servers::new(10, wall_clock.clone()), wall_clock }
     }
 
     /// The wall clock reads an hour more, or an hour less, from now on; what it reads now.
@@ -28,7 +28,7 @@
     }
 
     /// Discovery says that a server has started at this reading of the wall clock; what the balancer is told.
-    fn hears(&mut self, born: Time, health: Health) -> Vec<balancer::Listed> {
+    fn hears(&mut self, born: Time, health: Health) -> Vec<balancer::Endpoint> {
         let host = Host {
             name: "s".into(),
             dial: None,
@@ -47,7 +47,7 @@
 #[test]
 fn what_is_known_keeps_its_start_when_the_wall_clock_is_stepped() {
     for ahead in [true, false] {
-        let mut listed = Listed::new();
+        let mut listed = Endpoint::new();
         let born = listed.clock.now() - Span(10_000_000);
         assert_eq!(listed.hears(born, Health::Up)[0].started, Some(born));
         listed.step(ahead);
@@ -60,7 +60,7 @@
 #[test]
 fn a_server_that_restarts_after_a_step_is_as_old_as_it_is() {
     for ahead in [true, false] {
-        let mut listed = Listed::new();
+        let mut listed = Endpoint::new();
         let id = {
             let born = listed.clock.now() - Span(60_000_000);
             listed.hears(born, Health::Up)[0].server
--- a/agent/src/peers/file/tests/earlier_version.rs
+++ b/agent/src/peers/file/tests/earlier_version.rs
@@ -4,7 +4,7 @@
 use crate::peers::cordons::{Cordons, Draft, Word};
 use crate::peers::file::Now;
 use crate::peers::learned::{self, Inheritance};
-use balancer::{Lesson, Lessons, ServerId, Time};
+use balancer::{ServerId, ServerSnapshot, Snapshot, Time};
 use std::time::Instant;
 
 /// The forms as the version before has them, which refuses any key that it does not know.
@@ -70,8 +70,8 @@
 const LEARNED_FILE: &str = "bellcroft-n0-513090c2ad334f9e-learned.json";
 const LEARNED_AT: u64 = 1_796_207_553_446_406;
 
-fn lessons() -> Lessons {
-    let lesson = |server, started, suspect| Lesson {
+fn lessons() -> Snapshot {
+    let lesson = |server, started, suspect| ServerSnapshot {
         server: ServerId(server),
         started,
         limit: 4.5,
@@ -83,7 +83,7 @@
         suspect,
     };
     let servers = vec![lesson(7, Some(Time(1_700_000_000_123_000)), true), lesson(8, None, false)];
-    Lessons { level: 0.5, median: 0.2, class_pace: vec![0.1, 0.25], warm_sent: 2.0, servers }
+    Snapshot { level: 0.5, median: 0.2, class_pace: vec![0.1, 0.25], warm_sent: 2.0, servers }
 }
 
 /// A moment soon after the literal files were written.
--- a/agent/src/peers/learned.rs
+++ b/agent/src/peers/learned.rs
@@ -1,7 +1,7 @@
 //! What a process has learned of its renderers, for the one that takes over from it.
 
 use super::file::{self, Now, Owner, FORM};
-use balancer::{Lesson, Lessons, ServerId, Time};
+use balancer::{ServerId, ServerSnapshot, Snapshot, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -45,19 +45,19 @@
 pub fn draft(
     folder: &Path,
     owner: &Owner,
-    lessons: Lessons,
+    lessons: Snapshot,
     now: Now,
     name: impl Fn(ServerId) -> Option<String>,
 ) -> (PathBuf, Vec<u8>) {
-    let server = |l: Lesson| {
-        let Lesson { server, started, limit, cut, stretch, pace, samples, cold_sent, suspect } = l;
+    let server = |l: ServerSnapshot| {
+        let ServerSnapshot { server, started, limit, cut, stretch, pace, samples, cold_sent, suspect } = l;
         let started = started.map(|at| at.0);
         Some((
             name(server)?,
             LearnedServer { started, limit, cut, stretch, pace, samples, cold_sent, suspect },
         ))
     };
-    let Lessons { level, median, class_pace, warm_sent, servers } = lessons;
+    let Snapshot { level, median, class_pace, warm_sent, servers } = lessons;
     let servers = servers.into_iter().filter_map(server).collect();
     let of = owner.clone();
     let learned = Learned { form: FORM, of, at: now.wall, level, median, class_pace, warm_sent, servers };
@@ -92,7 +92,7 @@
     }
 
     /// Looks for it; gives it once.
-    pub fn look(&mut self, now: Now, id: impl Fn(&str) -> Option<ServerId>) -> Option<Lessons> {
+    pub fn look(&mut self, now: Now, id: impl Fn(&str) -> Option<ServerId>) -> Option<Snapshot> {
         if self.over {
             return None;
         }
@@ -131,15 +131,15 @@
 }
 
 impl Learned {
-    fn lessons(self, id: impl Fn(&str) -> Option<ServerId>) -> Lessons {
+    fn lessons(self, id: impl Fn(&str) -> Option<ServerId>) -> Snapshot {
         let server = |(name, l): (String, LearnedServer)| {
             let LearnedServer { started, limit, cut, stretch, pace, samples, cold_sent, suspect } = l;
             let (server, started) = (id(&name)?, started.map(Time));
-            Some(Lesson { server, started, limit, cut, stretch, pace, samples, cold_sent, suspect })
+            Some(ServerSnapshot { server, started, limit, cut, stretch, pace, samples, cold_sent, suspect })
         };
         let Learned { level, median, class_pace, warm_sent, servers, .. } = self;
         let servers = servers.into_iter().filter_map(server).collect();
-        Lessons { level, median, class_pace, warm_sent, servers }
+        Snapshot { level, median, class_pace, warm_sent, servers }
     }
 }
 
--- a/agent/src/peers/learned/tests.rs
+++ b/agent/src/peers/learned/tests.rs
@@ -5,7 +5,7 @@
 fn keep(
     folder: &Path,
     owner: &Owner,
-    lessons: Lessons,
+    lessons: Snapshot,
     now: Now,
     name: impl Fn(ServerId) -> Option<String>,
 ) -> std::io::Result<()> {
@@ -13,7 +13,7 @@
     writer::replace(&file, &text, Outlives::Process)
 }
 
-fn inherited(folder: &Folder, id: impl Fn(&str) -> Option<ServerId>) -> Option<Lessons> {
+fn inherited(folder: &Folder, id: impl Fn(&str) -> Option<ServerId>) -> Option<Snapshot> {
     Inheritance::new(&folder.0, owner(), Now::read()).look(Now::read(), id)
 }
 
@@ -22,7 +22,7 @@
     let folder = Folder::new("learned");
     let server = ServerId(7);
     let (started, samples) = (Some(Time(3)), 9);
-    let lesson = Lesson {
+    let lesson = ServerSnapshot {
         server,
         started,
         limit: 4.5,
@@ -34,7 +34,7 @@
         suspect: true,
     };
     let told =
-        Lessons { level: 0.5, median: 0.2, class_pace: vec![0.1], warm_sent: 2.0, servers: vec![lesson] };
+        Snapshot { level: 0.5, median: 0.2, class_pace: vec![0.1], warm_sent: 2.0, servers: vec![lesson] };
     keep(&folder.0, &owner(), told.clone(), Now::read(), |id| (id == server).then(|| "a".to_owned()))
         .expect("written");
     let id = |name: &str| (name == "a").then_some(server);
@@ -58,8 +58,8 @@
     Now { monotonic: start.monotonic + Duration::from_secs(seconds), wall }
 }
 
-fn lessons_at(level: f64) -> Lessons {
-    Lessons { level, median: 0.2, class_pace: vec![0.1], warm_sent: 2.0, servers: Vec::new() }
+fn lessons_at(level: f64) -> Snapshot {
+    Snapshot { level, median: 0.2, class_pace: vec![0.1], warm_sent: 2.0, servers: Vec::new() }
 }
 
 #[test]
--- a/src/recent.rs
+++ b/src/recent.rs
@@ -1,6 +1,6 @@
 //! Figures over recent time: sums that fade, sums over a window, and means.
 
-use crate::api::*;
+use crate::*;
 
 /// Parts that a window is counted in.
 const PARTS: usize = 16;
@@ -17,7 +17,7 @@
 
 impl Fading {
     pub(crate) fn now(&self, now: Time) -> f64 {
-        self.sum * (-now.since(self.at).ms() / self.over_ms.max(1.0)).exp()
+        self.sum * (-now.since(self.at).as_ms() / self.over_ms.max(1.0)).exp()
     }
 
     pub(crate) fn add(&mut self, now: Time, over_ms: f64, part: f64) {
@@ -81,7 +81,7 @@
 impl MeanHint {
     pub(crate) fn add(&mut self, hint: Span) {
         self.hints = (self.hints + 1).min(HINTS_MOST);
-        self.ms += (hint.ms() - self.ms) / f64::from(self.hints);
+        self.ms += (hint.as_ms() - self.ms) / f64::from(self.hints);
     }
 
     /// In milliseconds; none before the first hint.
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -5,7 +5,7 @@
 
 fn settings() -> Settings {
     Settings {
-        classes: vec![class(Effect::Idempotent)],
+        classes: vec![class(Idempotency::Idempotent)],
         report_fields: vec![ReportField::InFlight],
         ..Settings::default()
     }
@@ -68,10 +68,10 @@
 fn an_id_that_is_used_again_while_its_attempt_is_out_is_refused_and_leaks_nothing() {
     let mut rig = Rig::new(settings(), 3);
     rig.list(fleet(1, 1, 1));
-    let in_flight = |rig: &Rig| rig.balancer.views(rig.now)[0].in_flight;
+    let in_flight = |rig: &Rig| rig.balancer.server_views(rig.now)[0].in_flight;
     let (id, sent) = rig.ask(0);
     assert_eq!(sent, Some(ServerId(0)));
-    rig.tell(Event::ClientGone { request: id });
+    rig.tell(Event::ClientDisconnected { request: id });
     let again = Request::new(id, ClassId(0), rig.deadline(0));
     let actions = rig.tell(Event::Request(again.clone())).to_vec();
     assert!(refused(&actions, id), "{actions:?}");
