--- a/agent/tests/control.rs
+++ b/agent/tests/control.rs
@@ -1,9 +1,10 @@
-//! The staff's command against real agents.
+//! The operators' command against real agents.
 
 mod common;
+use balancerctl::ExitStatus;
 use common::*;
 
-async fn balancerctl(arguments: &[&str]) -> (u8, String, String) {
+async fn balancerctl(arguments: &[&str]) -> (ExitStatus, String, String) {
     let (mut out, mut err) = (Vec::new(), Vec::new());
     let arguments = ["balancerctl", "--timeout", "10000"].iter().chain(arguments).map(|word| (*word).into());
     let code = balancerctl::run(arguments, &mut out, &mut err).await;
@@ -39,12 +40,12 @@
         async move { balancerctl(&arguments).await }
     };
     let (code, out, err) = call(&["status"]).await;
-    assert_eq!((code, err.as_str()), (balancerctl::ALL_YES, ""), "{out}");
+    assert_eq!((code, err.as_str()), (ExitStatus::Success, ""), "{out}");
     let all = out.lines().find(|line| line.starts_with("all")).expect("a row that adds up");
     assert_eq!(all.split_whitespace().collect::<Vec<_>>()[1..5], ["3", "of", "3", "12"], "{out}");
 
     let (code, out, _) = call(&["cordon", "two"]).await;
-    assert_eq!((code, out.as_str()), (balancerctl::ALL_YES, "cordon two: done at 3 of 3 agents\n"));
+    assert_eq!((code, out.as_str()), (ExitStatus::Success, "cordon two: done at 3 of 3 agents\n"));
     for agent in &agents {
         for _ in 0..5 {
             assert_eq!(agent.get("/read").await.body, b"one");
@@ -54,16 +55,13 @@
     let two_row = out.lines().find(|line| line.starts_with("two")).expect("a row");
     assert!(two_row.contains("3 of 3"), "{out}");
     let (code, out, _) = call(&["cordon", "three"]).await;
-    assert!(code == balancerctl::SOME_NO && out.contains("no renderer three"), "{out}");
+    assert!(code == ExitStatus::Rejected && out.contains("no renderer three"), "{out}");
 
     agents[1].child.kill().await.expect("killed");
     let (code, out, _) = call(&["uncordon", "two"]).await;
-    assert!(
-        code == balancerctl::NO_ANSWER && out.contains("done at 2 of 3") && out.contains(&at[1]),
-        "{out}"
-    );
+    assert!(code == ExitStatus::NoAnswer && out.contains("done at 2 of 3") && out.contains(&at[1]), "{out}");
     let (code, out, err) = call(&["health"]).await;
-    assert!(code == balancerctl::NO_ANSWER && out.contains("2 of 3") && err.contains(&at[1]), "{out}{err}");
+    assert!(code == ExitStatus::NoAnswer && out.contains("2 of 3") && err.contains(&at[1]), "{out}{err}");
     for agent in [&agents[0], &agents[2]] {
         soon("the renderer's return", async { while agent.get("/read").await.body != b"two" {} }).await;
     }
--- /dev/null
+++ b/control/src/agent_file.rs
@@ -0,0 +1,143 @@
+//! The agents to call, and the file that names them.
+
+use std::collections::HashSet;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use thiserror::Error;
+
+/// Agents in one file at most; `docs/CAPACITY.md` plans for fewer.
+const MAX_AGENTS: usize = 10_000;
+
+/// One agent.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Agent {
+    /// Its name in the output; its address if it has no other name.
+    pub name: String,
+    /// The address of its admin API.
+    pub address: SocketAddr,
+}
+
+impl Agent {
+    /// An agent without a name of its own.
+    pub fn unnamed(address: SocketAddr) -> Self {
+        Agent { name: address.to_string(), address }
+    }
+}
+
+/// An agent file that is not valid: which, and what is wrong with it.
+#[derive(Debug, Error)]
+#[error("{}: {problem}", file.display())]
+pub struct AgentFileError {
+    file: PathBuf,
+    #[source]
+    problem: AgentFileProblem,
+}
+
+/// What is wrong with an agent file.
+#[derive(Debug, Error)]
+enum AgentFileProblem {
+    #[error("{0}")]
+    Read(#[from] std::io::Error),
+    #[error("it names no agent")]
+    Empty,
+    #[error("{0} agents; at most {MAX_AGENTS} are asked")]
+    TooMany(usize),
+    #[error("two agents are called {0}")]
+    DuplicateName(String),
+    #[error("two agents are at {0}")]
+    DuplicateAddress(SocketAddr),
+    #[error("line {number}: {line:.80?}; NAME ADDRESS was expected")]
+    MalformedLine { number: usize, line: String },
+    #[error("line {number}: {address:.80?} is no address such as 127.0.0.1:19000")]
+    MalformedAddress { number: usize, address: String },
+    #[error("{}", .0.message().replace('\n', " "))]
+    Toml(#[from] toml::de::Error),
+    #[error("{0} has no meaning; a section [agents] was expected")]
+    UnknownKey(String),
+    #[error("a section [agents] was expected")]
+    NoSection,
+    #[error("agents.{name} is {value:.80}; an address such as \"127.0.0.1:19000\" was expected")]
+    MalformedValue { name: String, value: toml::Value },
+}
+
+/// Reads agents from a file: one a line, `ADDRESS` or `NAME ADDRESS`, with `#` before comments; or TOML, `NAME =
+/// "ADDRESS"` under `[agents]`. The first line that is neither blank nor a comment tells which of the two it is.
+///
+/// # Errors
+///
+/// The file cannot be read, is in neither form, names no agent or more than [`MAX_AGENTS`], or has a name or an
+/// address twice.
+pub fn read(file: &Path) -> Result<Vec<Agent>, AgentFileError> {
+    read_agents(file).map_err(|problem| AgentFileError { file: file.to_owned(), problem })
+}
+
+fn read_agents(file: &Path) -> Result<Vec<Agent>, AgentFileProblem> {
+    let text = std::fs::read_to_string(file)?;
+    let agents = if is_toml(&text) { parse_toml(&text)? } else { parse_lines(&text)? };
+    check(&agents)?;
+    Ok(agents)
+}
+
+fn is_toml(text: &str) -> bool {
+    let mut lines = text.lines().map(str::trim);
+    let first = lines.find(|line| !line.is_empty() && !line.starts_with('#'));
+    first.is_some_and(|line| line.starts_with('[') || line.contains('='))
+}
+
+fn check(agents: &[Agent]) -> Result<(), AgentFileProblem> {
+    if agents.is_empty() {
+        return Err(AgentFileProblem::Empty);
+    }
+    if agents.len() > MAX_AGENTS {
+        return Err(AgentFileProblem::TooMany(agents.len()));
+    }
+    let mut names = HashSet::new();
+    let mut addresses = HashSet::new();
+    for agent in agents {
+        if !names.insert(&agent.name) {
+            return Err(AgentFileProblem::DuplicateName(agent.name.clone()));
+        }
+        if !addresses.insert(agent.address) {
+            return Err(AgentFileProblem::DuplicateAddress(agent.address));
+        }
+    }
+    Ok(())
+}
+
+fn parse_lines(text: &str) -> Result<Vec<Agent>, AgentFileProblem> {
+    let mut agents = Vec::new();
+    for (index, line) in text.lines().enumerate() {
+        let number = index + 1;
+        let words: Vec<&str> = line.split('#').next().unwrap_or_default().split_whitespace().collect();
+        let (name, address) = match words[..] {
+            [] => continue,
+            [address] => (address, address),
+            [name, address] => (name, address),
+            _ => return Err(AgentFileProblem::MalformedLine { number, line: line.to_owned() }),
+        };
+        let Ok(socket_address) = address.parse() else {
+            return Err(AgentFileProblem::MalformedAddress { number, address: address.to_owned() });
+        };
+        agents.push(Agent { name: name.to_owned(), address: socket_address });
+    }
+    Ok(agents)
+}
+
+fn parse_toml(text: &str) -> Result<Vec<Agent>, AgentFileProblem> {
+    let table: toml::Table = text.parse()?;
+    if let Some(key) = table.keys().find(|key| *key != "agents") {
+        return Err(AgentFileProblem::UnknownKey(key.clone()));
+    }
+    let agents = table.get("agents").and_then(toml::Value::as_table).ok_or(AgentFileProblem::NoSection)?;
+    agents.iter().map(|(name, value)| parse_entry(name, value)).collect()
+}
+
+fn parse_entry(name: &str, value: &toml::Value) -> Result<Agent, AgentFileProblem> {
+    let address = value.as_str().and_then(|text| text.parse().ok());
+    let address = address
+        .ok_or_else(|| AgentFileProblem::MalformedValue { name: name.to_owned(), value: value.clone() })?;
+    Ok(Agent { name: name.to_owned(), address })
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/control/src/aggregate.rs
@@ -0,0 +1,146 @@
+//! Sums over the answers of many agents.
+//!
+//! All agents see the same renderers, so what an endpoint list holds is not added up: the largest value stands. What
+//! an agent has counted is its own, so counts are added up; they saturate instead of wrapping.
+
+use balancer_agent::admin_api::{Counters, Renderer, Renderers, Zone, Zones};
+use std::collections::BTreeMap;
+
+/// The counters of all agents together.
+pub fn sum_counters<'a>(counters: impl Iterator<Item = &'a Counters>) -> Counters {
+    let mut sum = Counters::default();
+    for one in counters {
+        add_by_class(&mut sum.answered, &one.answered);
+        add_by_class(&mut sum.deferred, &one.deferred);
+        add_by_class(&mut sum.errored, &one.errored);
+        add(&mut sum.sends, one.sends);
+        add(&mut sum.current, one.current);
+        raise(&mut sum.cluster_size, one.cluster_size);
+        raise(&mut sum.cluster_unhealthy, one.cluster_unhealthy);
+    }
+    sum
+}
+
+/// Each zone as all agents together see it, by name. Of the phases, the one with the lowest share of draws stands.
+pub fn merge_zones<'a>(answers: impl Iterator<Item = &'a Zones>) -> Vec<Zone> {
+    let mut merged: BTreeMap<&str, Zone> = BTreeMap::new();
+    for zone in answers.flat_map(|zones| &zones.zones) {
+        let sum =
+            merged.entry(&zone.zone).or_insert_with(|| Zone { zone: zone.zone.clone(), ..Zone::default() });
+        merge_zone(sum, zone);
+    }
+    merged.into_values().collect()
+}
+
+fn merge_zone(sum: &mut Zone, zone: &Zone) {
+    raise(&mut sum.listed, zone.listed);
+    raise(&mut sum.serving, zone.serving);
+    raise(&mut sum.cordoned, zone.cordoned);
+    raise(&mut sum.doubted, zone.doubted);
+    raise(&mut sum.cold, zone.cold);
+    sum.left |= zone.left;
+    if zone.use_of.whole.share < sum.use_of.whole.share {
+        sum.use_of.whole = zone.use_of.whole.clone();
+    }
+    for (class, phase) in &zone.use_of.classes {
+        let lowest = sum.use_of.classes.entry(class.clone()).or_default();
+        if phase.share < lowest.share {
+            *lowest = phase.clone();
+        }
+    }
+    sum.limit += zone.limit;
+    add(&mut sum.in_flight, zone.in_flight);
+    add(&mut sum.sends, zone.sends);
+    add(&mut sum.answered, zone.answered);
+    add(&mut sum.failed, zone.failed);
+    add(&mut sum.rejected, zone.rejected);
+}
+
+/// One renderer as all agents together see it.
+#[derive(Debug, Clone, PartialEq)]
+pub struct RendererSummary {
+    /// Its zone, by the first agent that has it on its endpoint list.
+    pub zone: String,
+    /// Agents that have it on their endpoint list.
+    pub listing_agents: usize,
+    /// Agents that do not use it by an operator's command.
+    pub cordoning_agents: usize,
+    /// Agents that see it as an outlier.
+    pub ejecting_agents: usize,
+    /// The lowest slow-start factor at an agent, 0 to 1; 1 is warmed up.
+    pub slow_start_factor: f64,
+    /// Requests that it may have of all agents now.
+    pub concurrency_limit: f64,
+    /// Attempts in flight.
+    pub in_flight: u64,
+    /// Attempts sent completely.
+    pub sends: u64,
+    /// Attempts answered.
+    pub answered: u64,
+    /// Attempts failed.
+    pub failed: u64,
+    /// Attempts rejected unprocessed.
+    pub rejected: u64,
+}
+
+impl RendererSummary {
+    fn new(zone: &str) -> Self {
+        RendererSummary {
+            zone: zone.to_owned(),
+            listing_agents: 0,
+            cordoning_agents: 0,
+            ejecting_agents: 0,
+            slow_start_factor: 1.0,
+            concurrency_limit: 0.0,
+            in_flight: 0,
+            sends: 0,
+            answered: 0,
+            failed: 0,
+            rejected: 0,
+        }
+    }
+
+    fn add(&mut self, renderer: &Renderer) {
+        self.listing_agents += 1;
+        self.cordoning_agents += usize::from(renderer.cordoned);
+        self.ejecting_agents += usize::from(renderer.doubted);
+        self.slow_start_factor = self.slow_start_factor.min(renderer.warmth);
+        self.concurrency_limit += renderer.limit;
+        add(&mut self.in_flight, renderer.in_flight);
+        add(&mut self.sends, renderer.sends);
+        add(&mut self.answered, renderer.answered);
+        add(&mut self.failed, renderer.failed);
+        add(&mut self.rejected, renderer.rejected);
+    }
+}
+
+/// Each renderer as all agents together see it, by name.
+pub fn merge_renderers<'a>(
+    answers: impl Iterator<Item = &'a Renderers>,
+) -> BTreeMap<&'a str, RendererSummary> {
+    let mut merged: BTreeMap<&str, RendererSummary> = BTreeMap::new();
+    for renderer in answers.flat_map(|answer| &answer.renderers) {
+        let summary = merged.entry(&renderer.id).or_insert_with(|| RendererSummary::new(&renderer.zone));
+        summary.add(renderer);
+    }
+    merged
+}
+
+/// The sum of counts by class.
+pub fn total(by_class: &BTreeMap<String, u64>) -> u64 {
+    by_class.values().fold(0, |sum, count| sum.saturating_add(*count))
+}
+
+fn add_by_class(sum: &mut BTreeMap<String, u64>, counts: &BTreeMap<String, u64>) {
+    for (class, count) in counts {
+        add(sum.entry(class.clone()).or_default(), *count);
+    }
+}
+
+fn add(sum: &mut u64, count: u64) {
+    *sum = sum.saturating_add(count);
+}
+
+fn raise(highest: &mut u64, value: u64) {
+    *highest = value.max(*highest);
+}
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -1,19 +1,19 @@
-//! The staff's command. It asks agents at their second addresses, all side by side with a time limit each, and prints.
-//! It keeps nothing: what holds is what the agents say.
+//! `balancerctl`, the operators' command: calls the admin API of many agents concurrently, each call within its own
+//! time limit, and prints the combined answers as tables or as JSON.
+//!
+//! The command stores nothing: every run shows the agents' state at that moment. The page for its users is
+//! `docs/balancerctl.md`.
 
-mod agents;
-mod ask;
-mod cli;
-mod print;
-mod say;
+mod admin_call;
+mod agent_file;
+mod aggregate;
+mod arguments;
+mod client;
+mod commands;
+mod error;
+mod exit_status;
+mod output;
+mod queries;
 
-pub use cli::run;
-
-/// All agents said yes.
-pub const ALL_YES: u8 = 0;
-/// Some said no.
-pub const SOME_NO: u8 = 1;
-/// The command makes no sense.
-pub const WRONG_USE: u8 = 2;
-/// Some did not answer, or not in a way that makes sense.
-pub const NO_ANSWER: u8 = 3;
+pub use commands::run;
+pub use exit_status::ExitStatus;
--- a/control/src/main.rs
+++ b/control/src/main.rs
@@ -1,19 +1,20 @@
-//! The program; what it can do is [`balancerctl::run`]'s to say.
+//! The program `balancerctl`; see [`balancerctl::run`].
 
+use balancerctl::ExitStatus;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(why) => {
-            eprintln!("balancerctl: cannot start: {why}");
-            return ExitCode::from(balancerctl::WRONG_USE);
+        Err(error) => {
+            eprintln!("balancerctl: cannot start: {error}");
+            return ExitStatus::UsageError.into();
         }
     };
-    let code = runtime.block_on(balancerctl::run(
+    let status = runtime.block_on(balancerctl::run(
         std::env::args_os(),
         &mut std::io::stdout(),
         &mut std::io::stderr(),
     ));
-    ExitCode::from(code)
+    status.into()
 }
--- /dev/null
+++ b/control/src/output/operator_command.rs
@@ -0,0 +1,26 @@
+//! The page of the commands that change what agents use.
+
+use super::table::{render, text_table};
+use super::{count_of, Page};
+use crate::admin_call::OperatorCommand;
+use crate::queries::FleetAnswers;
+
+/// At how many agents the command is done; where it is not, at which and why, and how to proceed.
+pub fn operator_command(answers: &FleetAnswers<()>, command: &OperatorCommand) -> Page {
+    let done = answers.accepted().count();
+    let all = answers.agents.len();
+    let mut page = format!("{command}: done at {} agents\n", count_of(done, all));
+    if done == all {
+        return page;
+    }
+    let mut table = text_table(&["LACKING", "ADDRESS", "WHY"]);
+    for (agent, error) in answers.failed() {
+        table.add_row([agent.name.clone(), agent.address.to_string(), error.to_string()]);
+    }
+    page.push_str(&render(&table));
+    page.push_str(&format!(
+        "To go on: call `{command}` again, which changes nothing where it is done; or take it back with `{}`.\n",
+        command.inverse()
+    ));
+    page
+}
