--- a/control/src/commands.rs
+++ b/control/src/commands.rs
@@ -104,7 +104,7 @@
     Ok(ExitStatus::Success)
 }
 
-/// Whom a command calls, and where and how it prints.
+/// The agents that a command calls, and where and how it prints.
 struct Session<'a, Out, Err> {
     agents: Vec<Agent>,
     limit: Duration,
@@ -124,10 +124,10 @@
         let sum = aggregate::sum_counters(answers.answers().map(|status| &status.counters));
         let status = self.show(&answers, output::status(&answers), Some(json!(sum)))?;
         let all_serving = answers.answers().all(|status| status.health == Health::Serving);
-        Ok(match status {
-            ExitStatus::Success if !all_serving => ExitStatus::Rejected,
-            status => status,
-        })
+        if status == ExitStatus::Success && !all_serving {
+            return Ok(ExitStatus::Rejected);
+        }
+        Ok(status)
     }
 
     /// Shows the status every `interval`, `times` times or until it is interrupted. The exit status is the last page's.
