--- a/settings/tests/settings_object.rs
+++ b/settings/tests/settings_object.rs
@@ -44,33 +44,37 @@
     })
 }
 
+fn complete_classes() -> Vec<Class> {
+    vec![
+        Class {
+            idempotency: Idempotency::Idempotent,
+            latency_objective: Span::from_ms(100.0),
+            latency_objective_stretch: 2.5,
+            deadline: Span::from_ms(400.0),
+            priority_weight: 3.0,
+            late_weight: 0.25,
+            stream: true,
+        },
+        Class {
+            idempotency: Idempotency::Deduplicated {
+                scope: DeduplicationScope::Zone,
+                window: Span::from_ms(900.0),
+            },
+            latency_objective: Span::from_ms(200.0),
+            latency_objective_stretch: 0.0,
+            deadline: Span::from_ms(800.0),
+            priority_weight: 0.0,
+            late_weight: 0.0,
+            stream: false,
+        },
+    ]
+}
+
 fn complete_settings() -> Settings {
     Settings {
         balancers: 7,
         zone: ZoneId(3),
-        classes: vec![
-            Class {
-                idempotency: Idempotency::Idempotent,
-                latency_objective: Span::from_ms(100.0),
-                latency_objective_stretch: 2.5,
-                deadline: Span::from_ms(400.0),
-                priority_weight: 3.0,
-                late_weight: 0.25,
-                stream: true,
-            },
-            Class {
-                idempotency: Idempotency::Deduplicated {
-                    scope: DeduplicationScope::Zone,
-                    window: Span::from_ms(900.0),
-                },
-                latency_objective: Span::from_ms(200.0),
-                latency_objective_stretch: 0.0,
-                deadline: Span::from_ms(800.0),
-                priority_weight: 0.0,
-                late_weight: 0.0,
-                stream: false,
-            },
-        ],
+        classes: complete_classes(),
         tenants: vec![Tenant { fraction: 0.6, allowance_per_s: 40.0 }],
         over_quota_weight: 0.5,
         weight_by_work: true,
