--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,45 +1,60 @@
-//! Lets balancer balancers decide on the simulator's wire: a line of events in, a line of actions out.
+//! Hosts balancers on the simulator's wire: reads a line of events, writes a line of actions. `deploy/balancer.toml` names
+//! this program as `sim`.
 
+mod error;
+mod hex;
 mod host;
+mod instance;
+mod requests;
+mod servers;
 mod wire;
 
+use error::{AdapterError, Position};
+use host::Host;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
+use wire::{Batch, Reply};
 
-/// Reads batches until the input ends; the error is what a person should read.
-fn run(input: &mut dyn BufRead, output: &mut dyn Write) -> Result<(), String> {
-    let mut host = host::Host::default();
+/// The exit code after input that is not valid, or that cannot be read or answered.
+const EXIT_FAILURE: u8 = 2;
+
+/// Replies to batches until the input ends.
+fn run(input: &mut dyn BufRead, output: &mut dyn Write) -> Result<(), AdapterError> {
+    let mut host = Host::default();
     let mut line = Vec::new();
-    let mut last_round = None;
+    let mut position = Position::FirstRound;
     loop {
         line.clear();
-        let read = input.read_until(b'\n', &mut line).map_err(|e| format!("cannot read the input: {e}"))?;
-        if read == 0 {
+        if input.read_until(b'\n', &mut line).map_err(AdapterError::Read)? == 0 {
             return Ok(());
         }
-        let after = || last_round.map_or("the first round".into(), |r| format!("the round after {r}"));
-        let batch: wire::Batch<'_> =
-            serde_json::from_slice(&line).map_err(|e| format!("{}: not a batch: {e}", after()))?;
+        let batch: Batch<'_> =
+            serde_json::from_slice(&line).map_err(|error| AdapterError::NotABatch { position, error })?;
         let round = batch.round;
-        last_round = Some(round);
-        let reply = host.play(batch).map_err(|fault| format!("round {round}: {fault}"))?;
-        let mut text = serde_json::to_vec(&reply).map_err(|e| format!("round {round}: {e}"))?;
-        text.push(b'\n');
-        output
-            .write_all(&text)
-            .and_then(|()| output.flush())
-            .map_err(|e| format!("round {round}: cannot write the reply: {e}"))?;
+        position = Position::After(round);
+        let reply = host.handle_batch(batch).map_err(|error| AdapterError::Batch { round, error })?;
+        write_reply(&reply, output)?;
     }
 }
 
+fn write_reply(reply: &Reply, output: &mut dyn Write) -> Result<(), AdapterError> {
+    let round = reply.round;
+    let mut line = serde_json::to_vec(reply).map_err(|error| AdapterError::Encode { round, error })?;
+    line.push(b'\n');
+    output
+        .write_all(&line)
+        .and_then(|()| output.flush())
+        .map_err(|error| AdapterError::Write { round, error })
+}
+
 fn main() -> ExitCode {
-    // A panic of the decision code goes out on the wire; the hook's own lines would only repeat it.
+    // A panic of the balancer is written as an action; the hook's own lines would only repeat it.
     std::panic::set_hook(Box::new(|_| {}));
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("simulator-adapter: {fault}");
-            ExitCode::from(2)
+        Err(error) => {
+            eprintln!("simulator-adapter: {error}");
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
--- a/adapter/src/tests.rs
+++ b/adapter/src/tests.rs
@@ -1,4 +1,4 @@
-//! Decoding, encoding and dispatch, with lines of the project's own making.
+//! Decoding, dispatch and encoding: lines in, lines out.
 
 use super::run;
 
@@ -42,7 +42,10 @@
     let mut output = Vec::new();
     let end = run(&mut input.as_bytes(), &mut output);
     let text = String::from_utf8(output).expect("UTF-8");
-    (end, text.lines().map(|l| serde_json::from_str(l).expect("JSON")).collect())
+    (
+        end.map_err(|error| error.to_string()),
+        text.lines().map(|l| serde_json::from_str(l).expect("JSON")).collect(),
+    )
 }
 
 fn actions<'a>(reply: &'a serde_json::Value, name: &str) -> Vec<&'a serde_json::Value> {
@@ -51,14 +54,14 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_no_fault() {
+fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_no_error() {
     let (end, replies) = play(&batch(1, "8412.25", &[]));
     assert_eq!(end, Ok(()));
     assert_eq!(replies, [serde_json::json!({"round": 1, "parts": []})]);
 }
 
 #[test]
-fn a_request_is_routed_and_its_outcome_taken_with_times_to_the_microsecond() {
+fn a_request_is_routed_and_retried_with_times_to_the_microsecond() {
     let first = batch(
         1,
         "358835696.557",
@@ -78,7 +81,7 @@
 }
 
 #[test]
-fn a_catalogue_number_is_taken_over_within_a_batch() {
+fn a_catalogue_replaces_the_one_of_its_number_within_a_batch() {
     let inbox = [
         attach(),
         catalog(0, &["backend_a"]),
@@ -93,7 +96,7 @@
 }
 
 #[test]
-fn a_new_life_in_the_same_batch_does_not_speak_for_the_old_one() {
+fn a_new_process_in_the_same_batch_knows_nothing_of_the_old_one() {
     let start = batch(1, "10", &[(0, &[attach(), catalog(0, &["backend_a"]), registry("Complete", 0)])]);
     let inbox = [request("old"), r#"{"RETIRE":{}}"#.into(), attach(), request("new")];
     let (end, replies) = play(&(start + &batch(2, "20", &[(0, &inbox)])));
@@ -102,7 +105,7 @@
 }
 
 #[test]
-fn mail_probes_and_news_of_dropped_requests_are_taken() {
+fn gossip_health_checks_and_events_of_dropped_requests_are_accepted() {
     let inbox = [
         attach(),
         catalog(0, &["backend_a"]),
@@ -118,7 +121,7 @@
 }
 
 #[test]
-fn megabytes_in_one_batch() {
+fn a_batch_of_megabytes_is_handled() {
     let mut inbox = vec![attach(), catalog(0, &["backend_a", "backend_b"]), registry("Complete", 0)];
     inbox.extend((0..20_000).map(|i| request(&format!("{i:036}"))));
     let line = batch(1, "10", &[(0, &inbox)]);
@@ -129,7 +132,7 @@
 }
 
 #[test]
-fn a_fault_names_the_round_and_what_is_wrong() {
+fn an_error_names_the_round_and_what_is_wrong() {
     let attached = |inbox: &str| batch(6, "10", &[(0, &[attach(), inbox.to_string()])]);
     for (line, words) in [
         ("{\"tMs\":1\n".to_string(), "the first round: not a batch"),
@@ -139,15 +142,32 @@
         (attached(&request("r").replace(r#""cls":0"#, r#""cls":-1"#)), "invalid value: integer `-1`"),
         (attached(&registry("Partial", 5)), "round 6: instance 0: REGISTRY names catalogue 5"),
         (batch(6, "10", &[(3, &[request("r")])]), "round 6: instance 3: an event came before ATTACH"),
+        (attached(r#"{"REGISTRY":{"form":"Partial","rev":1}}"#), "instance 0: REGISTRY names no catalogue"),
+        (attached(r#"{"REGISTRY":{"form":"Error"}}"#), "missing field `rev`"),
         (attached(r#"{"MAIL":{"srcPeer":1,"raw":"6"}}"#), "round 6: instance 0: MAIL"),
+        (attached(r#"{"MAIL":{"srcPeer":1,"raw":"6g"}}"#), "round 6: instance 0: MAIL"),
+        (
+            attached(r#"{"PROBED":{"backend":"b","ending":"done","timeTakenMs":1}}"#),
+            "instance 0: PROBED names backend b, which no list has named",
+        ),
+        (attached(&format!("{0},{0}", request("r"))), "round 6: instance 0: REQUEST r came twice"),
+        (batch(6, "-1", &[]), "round 6: tMs is -1; a time of zero or more was expected"),
         (
             batch(6, "10", &[(0, &[r#"{"ATTACH":{"salt":1,"params":{}}}"#.to_string()])]),
             "round 6: instance 0: settings name no request class",
         ),
     ] {
         let (end, replies) = play(&line);
-        let fault = end.expect_err(words);
-        assert!(fault.contains(words), "{fault}");
+        let error = end.expect_err(words);
+        assert!(error.contains(words), "{error}");
         assert!(replies.is_empty());
     }
 }
+
+#[test]
+fn a_line_that_is_no_batch_is_named_by_the_batch_before_it() {
+    let (end, replies) = play(&(batch(5, "1", &[]) + "x\n"));
+    let error = end.expect_err("a line that is no batch");
+    assert!(error.starts_with("the round after 5: not a batch: "), "{error}");
+    assert_eq!(replies.len(), 1);
+}
