--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -1,8 +1,8 @@
 //! Hosts the balancers: names in, names out, and each event to the instance that it is for.
 
 use crate::wire::{self, Batch, Incoming, Outgoing, Reply, ReplyPart};
-use micasail::*;
-use micasail_settings::{fnv1a, settings};
+use balancer::*;
+use balancer_settings::{fnv1a, settings};
 use std::collections::{BTreeMap, HashMap};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::rc::Rc;
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Lets micasail balancers decide on the simulator's wire: a line of events in, a line of actions out.
+//! Lets balancer balancers decide on the simulator's wire: a line of events in, a line of actions out.
 
 mod host;
 mod wire;
@@ -38,7 +38,7 @@
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("micasail-adapter: {fault}");
+            eprintln!("simulator-adapter: {fault}");
             ExitCode::from(2)
         }
     }
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -27,7 +27,7 @@
 pub enum Incoming<'a> {
     Attach {
         salt: u64,
-        params: Box<micasail_settings::Params>,
+        params: Box<balancer_settings::Params>,
     },
     Retire {},
     #[serde(rename_all = "camelCase")]
--- a/agent/src/application/server.rs
+++ b/agent/src/application/server.rs
@@ -6,6 +6,8 @@
 use crate::traffic::body::{Hold, Intake, Reply, Unread, BUFFER, KEPT_MOST, REQUEST_MOST};
 use crate::traffic::pace::{Asked, Pace, Patience, Timed};
 use crate::traffic::socket::Socket;
+use balancer::{ClassId, Effect, KeyId, RequestId, Span, TenantId};
+use balancer_settings::fnv1a;
 use bytes::BytesMut;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -15,8 +17,6 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
-use micasail::{ClassId, Effect, KeyId, RequestId, Span, TenantId};
-use micasail_settings::fnv1a;
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::future::Future;
--- a/agent/src/application/server/tests.rs
+++ b/agent/src/application/server/tests.rs
@@ -16,7 +16,7 @@
 
 /// A configuration whose list is `known`, by way of a file, as an agent gets its own.
 fn config(name: &str, known: &str) -> Config {
-    let path = std::env::temp_dir().join(format!("bellcroft-{name}-{}.json", std::process::id()));
+    let path = std::env::temp_dir().join(format!("balancer-agent-{name}-{}.json", std::process::id()));
     let settings = r#"{"classes":[{"name":"a","aimMs":100,"deadlineMs":2500,"effect":"at_most_once"}]}"#;
     let text = format!(
         r#"{{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","known":{known},"settings":{settings}}}"#
--- a/agent/src/check.rs
+++ b/agent/src/check.rs
@@ -1,7 +1,7 @@
-//! `bellcroft check`: what a start would go by, for a person to read before one.
+//! `balancer-agent check`: what a start would go by, for a person to read before one.
 
 use crate::process::Start;
-use micasail::{Effect, Group};
+use balancer::{Effect, Group};
 use std::fmt::Write;
 
 /// What a start would do with this, in lines.
--- a/agent/src/cli.rs
+++ b/agent/src/cli.rs
@@ -13,7 +13,7 @@
 /// Without a command it serves until SIGTERM and then answers what it has taken. SIGHUP reads the configuration's
 /// discovery address and the fleet file again.
 #[derive(Parser)]
-#[command(name = "bellcroft", version, after_help = VARIABLES)]
+#[command(name = "balancer-agent", version, after_help = VARIABLES)]
 struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
@@ -66,7 +66,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             // Nobody may listen; the exit code tells all the same.
-            let _ = writeln!(std::io::stderr(), "bellcroft: {why}");
+            let _ = writeln!(std::io::stderr(), "balancer-agent: {why}");
             ExitCode::from(2)
         }
     }
--- a/agent/src/config/fleet.rs
+++ b/agent/src/config/fleet.rs
@@ -2,7 +2,7 @@
 //!
 //! Each error is one line that names file, key and value. A file is taken whole or not at all.
 
-use micasail_settings::Names;
+use balancer_settings::Names;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/agent/src/config/fleet/tests.rs
+++ b/agent/src/config/fleet/tests.rs
@@ -2,7 +2,7 @@
 
 fn names() -> Names {
     let params = serde_json::json!({"classes": [{"name": "archive", "aimMs": 1, "deadlineMs": 2}]});
-    micasail_settings::names(&serde_json::from_value(params).expect("settings"))
+    balancer_settings::names(&serde_json::from_value(params).expect("settings"))
 }
 
 fn parse(text: &str) -> Result<Fleet, String> {
--- a/agent/src/config/mod.rs
+++ b/agent/src/config/mod.rs
@@ -3,8 +3,8 @@
 pub mod fleet;
 
 use crate::list::{self, List};
-use micasail::Settings;
-use micasail_settings::{Names, Params};
+use balancer::Settings;
+use balancer_settings::{Names, Params};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -18,7 +18,7 @@
 const SOCKETS_LEAST: usize = 80;
 const SOCKETS_MOST: usize = 1 << 20;
 
-/// What a server that is known takes, with all that is learned of it, in bytes (`lab scale list` measures 1.2 to 1.6 KB),
+/// What a server that is known takes, with all that is learned of it, in bytes (`testbed scale list` measures 1.2 to 1.6 KB),
 /// and the part of the memory that all of them may take.
 const SERVER_BYTES: u64 = 2 << 10;
 const SERVERS_SHARE: u64 = 2;
@@ -116,9 +116,9 @@
         let discovery = address("PROXY_DISCOVERY", file.discovery)?;
         let operator = var("PROXY_OPERATOR").or(file.operator).filter(|text| !text.is_empty());
         let operator = operator.map(|text| parse("PROXY_OPERATOR", text)).transpose()?;
-        let mut settings = micasail_settings::settings(&file.settings);
+        let mut settings = balancer_settings::settings(&file.settings);
         settings.check().map_err(|e| e.to_string())?;
-        let names = micasail_settings::names(&file.settings);
+        let names = balancer_settings::names(&file.settings);
         if let Some(place) = names.classes.iter().position(String::is_empty) {
             return Err(format!("settings give class {place} no name"));
         }
@@ -141,7 +141,7 @@
             discovery,
             operator,
             // Any text makes a seed; only the form of the deployment's own is read as a number.
-            seed: u64::from_str_radix(&seed, 16).unwrap_or_else(|_| micasail_settings::fnv1a(&seed)),
+            seed: u64::from_str_radix(&seed, 16).unwrap_or_else(|_| balancer_settings::fnv1a(&seed)),
             sockets,
             memory_mb,
             servers_most,
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -14,12 +14,12 @@
 use crate::renderers::discovery::{Discovery, Listener, News, STEP};
 use crate::renderers::upstream::{Ended, Progress, Upstream};
 use crate::traffic::body::{Budget, Step};
-use hyper::StatusCode;
-use micasail::{
+use balancer::{
     Action, AttemptNo, Balancer, Effect, Event, Fleet, Lessons, ListUpdate, Outcome, RequestId, ServerId,
     SettingsError, Span, Status, Time, View, ZoneId,
 };
-use micasail_settings::Names;
+use balancer_settings::Names;
+use hyper::StatusCode;
 use queue::{Clock, Queue};
 use requests::{outgoing, Answer, Arrival, Open, Requests};
 use servers::{place, Servers};
@@ -75,7 +75,7 @@
             Duration::from_micros(config.names.keepalive.0),
             config.names.report_fields.clone(),
         ));
-        let pushed = config.settings.discovery == micasail::Discovery::Pushed;
+        let pushed = config.settings.discovery == balancer::Discovery::Pushed;
         let mut balancer = Balancer::new(config.settings, config.seed)?;
         let mut actions = Vec::new();
         balancer.start(clock.now(), &mut actions);
@@ -252,7 +252,7 @@
         let id = {
             let mut state = self.state.borrow_mut();
             let id = state.requests.number();
-            let request = micasail::Request {
+            let request = balancer::Request {
                 id,
                 class: arrival.class,
                 tenant: arrival.tenant,
--- a/agent/src/driver/queue.rs
+++ b/agent/src/driver/queue.rs
@@ -1,7 +1,7 @@
 //! The clock and the queue of the [`Balancer`]: what it is still to be told, in the order in which it happened, and the
 //! timers that it has set.
 
-use micasail::{Action, Balancer, Event, Span, Time, TimerId};
+use balancer::{Action, Balancer, Event, Span, Time, TimerId};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/agent/src/driver/servers.rs
+++ b/agent/src/driver/servers.rs
@@ -6,8 +6,8 @@
 
 use crate::figures::Attempts;
 use crate::list::{Envelope, Health, Host, List, Unread};
-use micasail::{CellId, KindId, Listed, ServerId, Status, Time, ZoneId};
-use micasail_settings::{fnv1a, Names};
+use balancer::{CellId, KindId, Listed, ServerId, Status, Time, ZoneId};
+use balancer_settings::{fnv1a, Names};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
 
--- a/agent/src/figures.rs
+++ b/agent/src/figures.rs
@@ -2,7 +2,7 @@
 //! and the log writes how they have moved, so that both tell the same story.
 
 use crate::forms::Counters;
-use micasail::{Outcome, ServerId};
+use balancer::{Outcome, ServerId};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
--- a/agent/src/log.rs
+++ b/agent/src/log.rs
@@ -6,8 +6,8 @@
 //! process and says so on standard output.
 
 use crate::figures::{Counts, Ends, Figures, OUTCOMES};
+use balancer::{Outcome, Span};
 use hyper::StatusCode;
-use micasail::{Outcome, Span};
 use std::fmt::{self, Write as _};
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering::Relaxed};
--- a/agent/src/log/tests.rs
+++ b/agent/src/log/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::figures::End;
-use micasail::ServerId;
+use balancer::ServerId;
 use std::sync::Mutex;
 
 /// Keeps what is written.
@@ -110,7 +110,7 @@
     drop(Written(queue));
 }
 
-/// What a line on a request costs the core that serves: `cargo test --release -p bellcroft --lib -- --ignored
+/// What a line on a request costs the core that serves: `cargo test --release -p balancer-agent --lib -- --ignored
 /// --nocapture line_costs`.
 #[test]
 #[ignore = "a measurement"]
--- a/agent/src/main.rs
+++ b/agent/src/main.rs
@@ -1,7 +1,7 @@
-//! The program; what it can do is [`bellcroft::cli`]'s to say.
+//! The program; what it can do is [`balancer_agent::cli`]'s to say.
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    bellcroft::cli::run(std::env::args_os())
+    balancer_agent::cli::run(std::env::args_os())
 }
--- a/agent/src/peers/handover.rs
+++ b/agent/src/peers/handover.rs
@@ -5,7 +5,7 @@
 //! file in `$TMPDIR` with the last word on each renderer and its time; the later word wins, whoever wrote it.
 //! A file names the agent and the deployment that it was written for, and nobody else takes it in.
 
-use micasail::{Lesson, Lessons, ServerId, Time};
+use balancer::{Lesson, Lessons, ServerId, Time};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -86,7 +86,7 @@
         let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '_' };
         let agent: String = self.agent.chars().map(plain).take(NAME_MOST).collect();
         let zones = self.zones.join("\0");
-        let whole = micasail_settings::fnv1a(&format!("{}\0{}\0{zones}", self.agent, self.listen));
+        let whole = balancer_settings::fnv1a(&format!("{}\0{}\0{zones}", self.agent, self.listen));
         format!("bellcroft-{agent}-{whole:016x}-{what}.json")
     }
 
--- a/agent/src/peers/handover/tests.rs
+++ b/agent/src/peers/handover/tests.rs
@@ -6,7 +6,7 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("bellcroft-{name}-{}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("balancer-agent-{name}-{}", std::process::id()));
         fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
--- a/agent/src/renderers/discovery.rs
+++ b/agent/src/renderers/discovery.rs
@@ -1,7 +1,7 @@
 //! The server list: reading it, watching it, asking for the whole of it.
 //!
 //! When to begin a watch and when to ask again after a failure is the balancer's to say
-//! ([`micasail::Action::Follow`], [`micasail::Action::FetchList`]); a watch once begun is kept up here.
+//! ([`balancer::Action::Follow`], [`balancer::Action::FetchList`]); a watch once begun is kept up here.
 
 use crate::list::{Envelope, Host, Reader, Unread};
 use crate::traffic::socket::Socket;
--- a/agent/tests/common/mod.rs
+++ b/agent/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! The real program, and the stand-ins that its tests script.
 #![allow(dead_code, missing_docs)]
 
-pub use micasail_lab::scripted::*;
+pub use testbed::scripted::*;
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -38,14 +38,15 @@
 
 pub fn write_config(text: &str) -> PathBuf {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
-    let name = format!("bellcroft-{}-{}.json", std::process::id(), NUMBER.fetch_add(1, Ordering::SeqCst));
+    let name =
+        format!("balancer-agent-{}-{}.json", std::process::id(), NUMBER.fetch_add(1, Ordering::SeqCst));
     let file = std::env::temp_dir().join(name);
     std::fs::write(&file, text).expect("a file");
     file
 }
 
 pub fn command(file: &PathBuf) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_bellcroft"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_balancer-agent"));
     command.env_clear().env("PROXY_CONFIG", file).stderr(Stdio::piped()).kill_on_drop(true);
     command
 }
--- a/agent/tests/control.rs
+++ b/agent/tests/control.rs
@@ -3,10 +3,10 @@
 mod common;
 use common::*;
 
-async fn bellctl(arguments: &[&str]) -> (u8, String, String) {
+async fn balancerctl(arguments: &[&str]) -> (u8, String, String) {
     let (mut out, mut err) = (Vec::new(), Vec::new());
-    let arguments = ["bellctl", "--timeout", "10000"].iter().chain(arguments).map(|word| (*word).into());
-    let code = bellctl::run(arguments, &mut out, &mut err).await;
+    let arguments = ["balancerctl", "--timeout", "10000"].iter().chain(arguments).map(|word| (*word).into());
+    let code = balancerctl::run(arguments, &mut out, &mut err).await;
     let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
     (code, text(out), text(err))
 }
@@ -36,15 +36,15 @@
     let whom: Vec<&str> = at.iter().flat_map(|at| ["--agent", at.as_str()]).collect();
     let call = |words: &'static [&'static str]| {
         let arguments: Vec<&str> = words.iter().copied().chain(whom.clone()).collect();
-        async move { bellctl(&arguments).await }
+        async move { balancerctl(&arguments).await }
     };
     let (code, out, err) = call(&["status"]).await;
-    assert_eq!((code, err.as_str()), (bellctl::ALL_YES, ""), "{out}");
+    assert_eq!((code, err.as_str()), (balancerctl::ALL_YES, ""), "{out}");
     let all = out.lines().find(|line| line.starts_with("all")).expect("a row that adds up");
     assert_eq!(all.split_whitespace().collect::<Vec<_>>()[1..5], ["3", "of", "3", "12"], "{out}");
 
     let (code, out, _) = call(&["cordon", "two"]).await;
-    assert_eq!((code, out.as_str()), (bellctl::ALL_YES, "cordon two: done at 3 of 3 agents\n"));
+    assert_eq!((code, out.as_str()), (balancerctl::ALL_YES, "cordon two: done at 3 of 3 agents\n"));
     for agent in &agents {
         for _ in 0..5 {
             assert_eq!(agent.get("/read").await.body, b"one");
@@ -54,13 +54,16 @@
     let two_row = out.lines().find(|line| line.starts_with("two")).expect("a row");
     assert!(two_row.contains("3 of 3"), "{out}");
     let (code, out, _) = call(&["cordon", "three"]).await;
-    assert!(code == bellctl::SOME_NO && out.contains("no renderer three"), "{out}");
+    assert!(code == balancerctl::SOME_NO && out.contains("no renderer three"), "{out}");
 
     agents[1].child.kill().await.expect("killed");
     let (code, out, _) = call(&["uncordon", "two"]).await;
-    assert!(code == bellctl::NO_ANSWER && out.contains("done at 2 of 3") && out.contains(&at[1]), "{out}");
+    assert!(
+        code == balancerctl::NO_ANSWER && out.contains("done at 2 of 3") && out.contains(&at[1]),
+        "{out}"
+    );
     let (code, out, err) = call(&["health"]).await;
-    assert!(code == bellctl::NO_ANSWER && out.contains("2 of 3") && err.contains(&at[1]), "{out}{err}");
+    assert!(code == balancerctl::NO_ANSWER && out.contains("2 of 3") && err.contains(&at[1]), "{out}{err}");
     for agent in [&agents[0], &agents[2]] {
         soon("the renderer's return", async { while agent.get("/read").await.body != b"two" {} }).await;
     }
--- a/agent/tests/service.rs
+++ b/agent/tests/service.rs
@@ -265,7 +265,7 @@
         assert!(!output.status.success());
         let log = String::from_utf8(output.stderr).expect("UTF-8");
         assert_eq!(log.lines().count(), 1, "{log}");
-        assert!(log.starts_with("bellcroft: "), "{log}");
+        assert!(log.starts_with("balancer-agent: "), "{log}");
     }
 }
 
@@ -278,7 +278,7 @@
     let config = config(directory.address, &[host("s", backend.address, "up")]).to_string();
     let file = write_config(&config);
     let mut child = tokio::process::Command::new("sh")
-        .args(["-c", "ulimit -n 40; exec \"$0\"", env!("CARGO_BIN_EXE_bellcroft")])
+        .args(["-c", "ulimit -n 40; exec \"$0\"", env!("CARGO_BIN_EXE_balancer-agent")])
         .env("PROXY_CONFIG", &file)
         .stderr(std::process::Stdio::piped())
         .kill_on_drop(true)
--- a/agent/tests/upgrade.rs
+++ b/agent/tests/upgrade.rs
@@ -18,7 +18,8 @@
 impl Platform {
     fn new(name: &str) -> Self {
         let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let folder = std::env::temp_dir().join(format!("bellcroft-upgrade-{name}-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("balancer-agent-upgrade-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         Platform { socket, folder }
     }
--- a/control/src/cli.rs
+++ b/control/src/cli.rs
@@ -18,7 +18,7 @@
 /// Exit: 0 all said yes; 1 some said no; 2 wrong use; 3 some did not answer, or not in a way that makes sense. Who, and
 /// why, is on standard error.
 #[derive(Parser)]
-#[command(name = "bellctl", version, max_term_width = 110)]
+#[command(name = "balancerctl", version, max_term_width = 110)]
 struct Cli {
     #[command(flatten)]
     whom: Whom,
@@ -123,7 +123,7 @@
     match command(&cli, out, err).await {
         Ok(code) => code,
         Err(why) => {
-            let _ = writeln!(err, "bellctl: {why}");
+            let _ = writeln!(err, "balancerctl: {why}");
             WRONG_USE
         }
     }
@@ -132,7 +132,7 @@
 async fn command(cli: &Cli, out: &mut impl Write, err: &mut impl Write) -> Result<u8, String> {
     if let Command::Completions { shell } = cli.command {
         let mut text = Vec::new();
-        clap_complete::generate(shell, &mut Cli::command(), "bellctl", &mut text);
+        clap_complete::generate(shell, &mut Cli::command(), "balancerctl", &mut text);
         return written(out, &text).map(|()| ALL_YES);
     }
     let agents = cli.whom.agents()?;
--- a/control/tests/many.rs
+++ b/control/tests/many.rs
@@ -75,10 +75,10 @@
     err: String,
 }
 
-async fn bellctl(arguments: &[&str]) -> Told {
+async fn balancerctl(arguments: &[&str]) -> Told {
     let (mut out, mut err) = (Vec::new(), Vec::new());
-    let arguments = ["bellctl"].iter().chain(arguments).map(|word| (*word).into());
-    let code = bellctl::run(arguments, &mut out, &mut err).await;
+    let arguments = ["balancerctl"].iter().chain(arguments).map(|word| (*word).into());
+    let code = balancerctl::run(arguments, &mut out, &mut err).await;
     let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
     Told { code, out: text(out), err: text(err) }
 }
@@ -88,7 +88,7 @@
 
 impl File {
     fn new(name: &str, text: &str) -> Self {
-        let file = std::env::temp_dir().join(format!("bellctl-{name}-{}", std::process::id()));
+        let file = std::env::temp_dir().join(format!("balancerctl-{name}-{}", std::process::id()));
         std::fs::write(&file, text).expect("a file");
         File(file)
     }
@@ -119,9 +119,9 @@
     }
     let file = File::new("many", &lines);
     let asked = Instant::now();
-    let told = bellctl(&["status", "--timeout", "5000", "--agents", file.path()]).await;
+    let told = balancerctl(&["status", "--timeout", "5000", "--agents", file.path()]).await;
     assert!(asked.elapsed() < Duration::from_secs(60), "{:?}", asked.elapsed());
-    assert_eq!(told.code, bellctl::NO_ANSWER);
+    assert_eq!(told.code, balancerctl::NO_ANSWER);
     let row = |name: &str| -> Vec<String> {
         let line = told.out.lines().find(|line| line.split_whitespace().next() == Some(name));
         line.expect("a row").split_whitespace().map(str::to_owned).collect()
@@ -147,43 +147,43 @@
 async fn a_word_is_taken_by_all_or_it_is_said_who_lacks_it_and_how_to_go_on() {
     let (good, bad, (nowhere, _held)) = (stand_in(Mood::Good).await, stand_in(Mood::Refuses).await, dead());
     let [good, bad, nowhere] = [good, bad, nowhere].map(|address| address.to_string());
-    let told = bellctl(&["cordon", "r1", "--agent", &good]).await;
-    assert_eq!((told.code, told.out.as_str()), (bellctl::ALL_YES, "cordon r1: done at 1 of 1 agents\n"));
-    let told = bellctl(&["uncordon", "r1", "--agent", &good, "--agent", &bad]).await;
-    assert_eq!(told.code, bellctl::SOME_NO);
+    let told = balancerctl(&["cordon", "r1", "--agent", &good]).await;
+    assert_eq!((told.code, told.out.as_str()), (balancerctl::ALL_YES, "cordon r1: done at 1 of 1 agents\n"));
+    let told = balancerctl(&["uncordon", "r1", "--agent", &good, "--agent", &bad]).await;
+    assert_eq!(told.code, balancerctl::SOME_NO);
     let parts =
         ["done at 1 of 2 agents", "not now", &bad, "To go on: call `uncordon r1` again", "`cordon r1`"];
     assert!(parts.iter().all(|part| told.out.contains(part)), "{}", told.out);
-    let told = bellctl(&["cordon", "r1", "--agent", &bad, "--agent", &nowhere]).await;
-    assert!(told.code == bellctl::NO_ANSWER && told.out.contains("done at 0 of 2"), "{}", told.out);
-    let told = bellctl(&["--json", "cordon", "r1", "--agent", &good, "--agent", &bad]).await;
+    let told = balancerctl(&["cordon", "r1", "--agent", &bad, "--agent", &nowhere]).await;
+    assert!(told.code == balancerctl::NO_ANSWER && told.out.contains("done at 0 of 2"), "{}", told.out);
+    let told = balancerctl(&["--json", "cordon", "r1", "--agent", &good, "--agent", &bad]).await;
     let said: serde_json::Value = serde_json::from_str(&told.out).expect("JSON");
     assert_eq!((&said["agents"][0]["said"], &said["agents"][1]["said"]), (&"yes".into(), &"no".into()));
     // A name that would be another call.
     for name in ["a b", "", "a\nuncordon b"] {
-        let told = bellctl(&["cordon", name, "--agent", &good]).await;
-        assert!(told.code == bellctl::WRONG_USE && told.err.contains("without spaces"), "{}", told.err);
+        let told = balancerctl(&["cordon", name, "--agent", &good]).await;
+        assert!(told.code == balancerctl::WRONG_USE && told.err.contains("without spaces"), "{}", told.err);
     }
 }
 
 #[tokio::test]
 async fn wrong_use_is_named_and_a_watch_ends_after_its_times() {
     for arguments in [&["status"][..], &["status", "--agents", "/nowhere"], &["novel"], &["cordon"], &[]] {
-        let told = bellctl(arguments).await;
-        assert_eq!(told.code, bellctl::WRONG_USE, "{arguments:?}");
+        let told = balancerctl(arguments).await;
+        assert_eq!(told.code, balancerctl::WRONG_USE, "{arguments:?}");
         assert!(!told.err.is_empty() && told.out.is_empty(), "{arguments:?}");
     }
     let good = stand_in(Mood::Good).await.to_string();
-    let told = bellctl(&["status", "--agent", &good, "--watch", "1", "--times", "2"]).await;
-    assert_eq!((told.code, told.out.matches("ANSWERED").count()), (bellctl::ALL_YES, 4));
-    let told = bellctl(&["counters", "--json", "--agent", &good]).await;
+    let told = balancerctl(&["status", "--agent", &good, "--watch", "1", "--times", "2"]).await;
+    assert_eq!((told.code, told.out.matches("ANSWERED").count()), (balancerctl::ALL_YES, 4));
+    let told = balancerctl(&["counters", "--json", "--agent", &good]).await;
     let said: serde_json::Value = serde_json::from_str(&told.out).expect("JSON");
     assert_eq!(said["sum"]["answered"]["read"], 10);
-    assert!(bellctl(&["counters", "--agent", &good]).await.out.contains("read"));
-    assert_eq!(bellctl(&["health", "--agent", &good]).await.out, "1 of 1 agents take clients\n");
+    assert!(balancerctl(&["counters", "--agent", &good]).await.out.contains("read"));
+    assert_eq!(balancerctl(&["health", "--agent", &good]).await.out, "1 of 1 agents take clients\n");
     for shell in ["bash", "zsh", "fish"] {
-        let told = bellctl(&["completions", shell]).await;
-        assert!(told.code == bellctl::ALL_YES && told.out.contains("cordon"), "{shell}");
+        let told = balancerctl(&["completions", shell]).await;
+        assert!(told.code == balancerctl::ALL_YES && told.out.contains("cordon"), "{shell}");
     }
-    assert_eq!(bellctl(&["--help"]).await.code, bellctl::ALL_YES);
+    assert_eq!(balancerctl(&["--help"]).await.code, balancerctl::ALL_YES);
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads the settings object that an instance is given: in the simulator's first message, and in a real
 //! agent's configuration. The one place where its words are known.
 
-use micasail::*;
+use balancer::*;
 use serde::Deserialize;
 
 /// An instance's settings. Absent keys take the values of [`Default`]; unknown ones are skipped.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,7 +5,7 @@
 //! it compares the lightest server it remembers with fresh uniform draws, by its own requests in flight.
 //!
 //! ```
-//! use micasail::*;
+//! use balancer::*;
 //!
 //! let class = Class { aim: Span::from_ms(100.0), deadline: Span::from_ms(400.0), ..Class::default() };
 //! let settings = Settings { classes: vec![class], ..Settings::default() };
--- a/lab/src/capacity.rs
+++ b/testbed/src/capacity.rs
@@ -1,4 +1,4 @@
-//! `lab capacity`: the tables of `docs/CAPACITY.md`, worked out from the capacity file: what the operators plan, what is
+//! `testbed capacity`: the tables of `docs/CAPACITY.md`, worked out from the capacity file: what the operators plan, what is
 //! assumed, and what was measured. Arithmetic alone: no clock, no socket, the same bytes from the same file.
 
 pub mod compute;
@@ -9,8 +9,8 @@
 
 use std::path::{Path, PathBuf};
 
-/// The file that comes with the lab.
-const BUILT_IN: (&str, &str) = ("lab/capacity.toml", include_str!("../capacity.toml"));
+/// The file that comes with the testbed.
+const BUILT_IN: (&str, &str) = ("testbed/capacity.toml", include_str!("../capacity.toml"));
 
 /// The page is as computed, or the tables were printed.
 const HELD: u8 = 0;
@@ -20,7 +20,7 @@
 /// The command's arguments.
 #[derive(clap::Args)]
 pub struct Args {
-    /// Plan, assumptions, measured slopes and lines (TOML); the lab's own lab/capacity.toml, as built in, if absent
+    /// Plan, assumptions, measured slopes and lines (TOML); the testbed's own testbed/capacity.toml, as built in, if absent
     file: Option<PathBuf>,
     /// Holds the tables of this page against the computed ones, in place of printing them
     #[arg(long, value_name = "FILE")]
@@ -37,7 +37,7 @@
         None => input::parse(BUILT_IN.0, BUILT_IN.1)?,
     };
     for warning in &model.warnings {
-        eprintln!("lab: warning: {warning}");
+        eprintln!("testbed: warning: {warning}");
     }
     let blocks = tables::blocks(&model)?;
     let Some(page) = &args.page else {
@@ -62,7 +62,7 @@
     match found {
         None => Ok(HELD),
         Some(why) => {
-            eprintln!("lab: {}: {why}", page.display());
+            eprintln!("testbed: {}: {why}", page.display());
             Ok(DIFFERS)
         }
     }
--- a/lab/src/capacity/page.rs
+++ b/testbed/src/capacity/page.rs
@@ -7,7 +7,7 @@
 const END: &str = "<!-- end -->";
 
 fn begin(name: &str) -> String {
-    format!("<!-- lab capacity: {name} -->")
+    format!("<!-- testbed capacity: {name} -->")
 }
 
 /// The tables between their marks, as a page could have them.
@@ -21,7 +21,8 @@
     let known: Vec<&str> = blocks.iter().map(|(name, _)| *name).collect();
     let (mut places, mut open, mut seen) = (Vec::new(), None, BTreeSet::new());
     for (n, line) in lines.iter().enumerate() {
-        let name = line.trim().strip_prefix("<!-- lab capacity:").and_then(|rest| rest.strip_suffix("-->"));
+        let name =
+            line.trim().strip_prefix("<!-- testbed capacity:").and_then(|rest| rest.strip_suffix("-->"));
         match (name.map(str::trim), open) {
             (Some(name), None) => {
                 let Some(place) = known.iter().position(|known| *known == name) else {
--- a/lab/src/clock.rs
+++ b/testbed/src/clock.rs
@@ -1,4 +1,4 @@
-//! The play's clock, and how late the lab itself is by it.
+//! The play's clock, and how late the testbed itself is by it.
 
 use crate::renderer::Micros;
 use hdrhistogram::Histogram;
@@ -47,14 +47,14 @@
         self.begun.get().map_or(0.0, |(_, unix)| unix + at as f64 / 1e3)
     }
 
-    /// The lab has done something that was due at `due`.
+    /// The testbed has done something that was due at `due`.
     pub fn did(&self, due: Micros) {
         let late = self.now().saturating_sub(due).clamp(1, LATE_MOST);
         let mut histogram = crate::lock(&self.late);
         let _ = histogram.record(late);
     }
 
-    /// The lab's own lateness in milliseconds at a quantile from 0 to 1.
+    /// The testbed's own lateness in milliseconds at a quantile from 0 to 1.
     pub fn late_ms(&self, quantile: f64) -> f64 {
         let histogram = crate::lock(&self.late);
         histogram.value_at_quantile(quantile) as f64 / 1e3
--- a/lab/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,7 +1,7 @@
-//! The proving ground: real agents between stand-ins for all that is around them.
+//! The testbed: real agents between stand-ins for all that is around them.
 //!
 //! A scenario and a seed make a plan; a play carries it out on loopback sockets; the oracle judges from what crossed
-//! them. See `docs/proving-ground.md`.
+//! them. See `docs/testbed.md`.
 
 pub mod capacity;
 pub mod clock;
--- a/lab/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,17 +1,17 @@
-//! The proving ground's command. Exit codes: 0 all held, 1 something that was expected did not, 2 bad input, 3 the lab
+//! The testbed's command. Exit codes: 0 all held, 1 something that was expected did not, 2 bad input, 3 the testbed
 //! itself ran late, 130 broken off.
 
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use micasail_lab::plan::{self, Plan};
-use micasail_lab::play::{self, End, Stage, Tick};
-use micasail_lab::result::Played;
-use micasail_lab::scenario::{self, Scenario};
-use micasail_lab::{saturate, scale, sweep, table};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
+use testbed::plan::{self, Plan};
+use testbed::play::{self, End, Stage, Tick};
+use testbed::result::Played;
+use testbed::scenario::{self, Scenario};
+use testbed::{saturate, scale, sweep, table};
 
 const HELD: u8 = 0;
 const FELL_SHORT: u8 = 1;
@@ -21,7 +21,7 @@
 
 /// Plays real agents between stand-ins for renderers, discovery, clients and the network, and judges them.
 #[derive(Parser)]
-#[command(name = "lab", version, max_term_width = 100)]
+#[command(name = "testbed", version, max_term_width = 100)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -35,7 +35,7 @@
     Up(Up),
     /// Says what is wrong with a scenario, or what it would play
     Check(Check),
-    /// Lists the scenarios that come with the lab
+    /// Lists the scenarios that come with the testbed
     List,
     /// Plays a scenario over a grid of settings and seeds
     Sweep(SweepArgs),
@@ -44,7 +44,7 @@
     /// Finds what an agent on one core bears and costs, beside a bare relay
     Saturate(Saturate),
     /// Works out the tables of docs/CAPACITY.md, or holds the page against them
-    Capacity(micasail_lab::capacity::Args),
+    Capacity(testbed::capacity::Args),
     /// Measures what something costs at several sizes, and fits a slope
     #[command(subcommand)]
     Scale(Scale),
@@ -58,7 +58,7 @@
 
 #[derive(Args)]
 struct Which {
-    /// A scenario of `lab list`, or a file
+    /// A scenario of `testbed list`, or a file
     scenario: String,
     /// Replaces a key of the scenario, as in `load=0.7` or `agents.count=8`
     #[arg(long = "set", value_name = "KEY=VALUE", value_parser = pair)]
@@ -72,7 +72,7 @@
 struct Run {
     #[command(flatten)]
     which: Which,
-    /// The agent's program; `bellcroft` beside this one if absent
+    /// The agent's program; `balancer-agent` beside this one if absent
     #[arg(long, value_name = "PATH")]
     agent: Option<PathBuf>,
     /// Where the results go
@@ -87,7 +87,7 @@
 struct Up {
     #[command(flatten)]
     which: Which,
-    /// The agent's program; `bellcroft` beside this one if absent
+    /// The agent's program; `balancer-agent` beside this one if absent
     #[arg(long, value_name = "PATH")]
     agent: Option<PathBuf>,
     /// Ends by itself after so many seconds
@@ -106,7 +106,7 @@
 
 #[derive(Args)]
 struct SweepArgs {
-    /// A scenario of `lab list`, or a file
+    /// A scenario of `testbed list`, or a file
     scenario: String,
     /// The seeds of each point, as in 1..8 or 1,4,9
     #[arg(long, default_value = "1..8")]
@@ -114,7 +114,7 @@
     /// Values for a key, as in `load=0.5,0.7`; several make a grid
     #[arg(long = "set", value_name = "KEY=VALUE,...")]
     sets: Vec<String>,
-    /// An agent's program, named more than once to play builds in turn; `bellcroft` beside this one if absent
+    /// An agent's program, named more than once to play builds in turn; `balancer-agent` beside this one if absent
     #[arg(long, value_name = "PATH")]
     agent: Vec<PathBuf>,
     /// Where the results go
@@ -135,7 +135,7 @@
 
 #[derive(Args)]
 struct Saturate {
-    /// An agent's program, named more than once to compare builds; `bellcroft` beside this one if absent
+    /// An agent's program, named more than once to compare builds; `balancer-agent` beside this one if absent
     #[arg(long, value_name = "PATH")]
     agent: Vec<PathBuf>,
     /// Writes the figures as JSON too
@@ -154,18 +154,18 @@
     Depth(ScaleArgs),
     /// Discovery by the agents that watch it
     Watchers(ScaleArgs),
-    /// `bellctl` by the agents that it asks
+    /// `balancerctl` by the agents that it asks
     Staff(ScaleArgs),
 }
 
 #[derive(Args)]
 struct ScaleArgs {
-    /// A TOML file with sizes and repeats; the lab's own if absent
+    /// A TOML file with sizes and repeats; the testbed's own if absent
     file: Option<PathBuf>,
-    /// The agent's program; `bellcroft` beside this one if absent
+    /// The agent's program; `balancer-agent` beside this one if absent
     #[arg(long, value_name = "PATH")]
     agent: Option<PathBuf>,
-    /// Writes the slopes in the words that `lab capacity` reads
+    /// Writes the slopes in the words that `testbed capacity` reads
     #[arg(long, value_name = "FILE")]
     slopes: Option<PathBuf>,
 }
@@ -194,7 +194,7 @@
         Command::Sweep(args) => sweep(&args),
         Command::Compare(args) => compare(&args),
         Command::Saturate(args) => saturate(&args),
-        Command::Capacity(args) => micasail_lab::capacity::run(&args),
+        Command::Capacity(args) => testbed::capacity::run(&args),
         Command::Scale(which) => on_runtime(scale(which)),
         Command::Relay => on_thread(saturate::relay()),
         Command::Hollow(args) => on_thread(scale::hollow::run(args)),
@@ -202,7 +202,7 @@
     match done {
         Ok(code) => ExitCode::from(code),
         Err(why) => {
-            eprintln!("lab: {why}");
+            eprintln!("testbed: {why}");
             ExitCode::from(BAD_INPUT)
         }
     }
@@ -261,7 +261,7 @@
     }
 }
 
-/// A panic anywhere in the lab breaks the play off instead of leaving it without one of its parts.
+/// A panic anywhere in the testbed breaks the play off instead of leaving it without one of its parts.
 async fn panicked() -> String {
     use std::sync::OnceLock;
     static PANICKED: OnceLock<tokio::sync::watch::Sender<bool>> = OnceLock::new();
@@ -277,10 +277,10 @@
     });
     // The sender is never dropped.
     let _ = panicked.subscribe().wait_for(|panicked| *panicked).await;
-    "a panic in the lab".into()
+    "a panic in the testbed".into()
 }
 
-/// What no input brings about is brought about by the tests of a debug build: a panic in one of the lab's tasks.
+/// What no input brings about is brought about by the tests of a debug build: a panic in one of the testbed's tasks.
 #[cfg(debug_assertions)]
 fn panic_if_asked() {
     let after = std::env::var("LAB_PANIC_AFTER_MS").ok().and_then(|ms| ms.parse().ok());
@@ -308,7 +308,7 @@
     let (scenario, plan) = planned(&args.which)?;
     let plan = Arc::new(plan);
     let program = play::program(args.agent.as_deref())?;
-    let default = || PathBuf::from("target/lab").join(format!("{}-{}", plan.scenario, plan.seed));
+    let default = || PathBuf::from("target/testbed").join(format!("{}-{}", plan.scenario, plan.seed));
     let out = args.out.unwrap_or_else(default);
     let logs = out.join("agents");
     std::fs::create_dir_all(&logs).map_err(|e| format!("{}: {e}", logs.display()))?;
@@ -335,36 +335,32 @@
     bar.finish_and_clear();
     let End { played, breaches, broken_off } = played?;
     write(&out, "result.json", &serde_json::to_string_pretty(&played).map_err(|e| e.to_string())?)?;
-    write(
-        &out,
-        "report.html",
-        &micasail_lab::report::html(&plan, &played, &breaches, broken_off.as_deref()),
-    )?;
+    write(&out, "report.html", &testbed::report::html(&plan, &played, &breaches, broken_off.as_deref()))?;
     if !args.quiet {
         say(&table::played(&played));
         say(&format!("report: {}\n", out.join("report.html").display()));
     }
     for breach in &breaches {
-        eprintln!("lab: rule broken at {:.3} s: {}", breach.at_us as f64 / 1e6, breach.what);
+        eprintln!("testbed: rule broken at {:.3} s: {}", breach.at_us as f64 / 1e6, breach.what);
     }
     verdict(&scenario, &played, broken_off)
 }
 
 fn verdict(scenario: &Scenario, played: &Played, broken_off: Option<String>) -> Result<u8, String> {
     if let Some(why) = broken_off {
-        eprintln!("lab: broken off after {:.1} s: {why}", played.played_s);
+        eprintln!("testbed: broken off after {:.1} s: {why}", played.played_s);
         return Ok(BROKEN_OFF);
     }
     if played.late_p99_ms > scenario.late_p99_most_ms {
         eprintln!(
-            "lab: no verdict: the lab itself ran late, {:.1} ms at the 99th percentile, over {} ms",
+            "testbed: no verdict: the testbed itself ran late, {:.1} ms at the 99th percentile, over {} ms",
             played.late_p99_ms, scenario.late_p99_most_ms
         );
         return Ok(LATE);
     }
     let short = played.falls_short(&scenario.expect);
     for line in &short {
-        eprintln!("lab: {line}");
+        eprintln!("testbed: {line}");
     }
     Ok(if short.is_empty() { HELD } else { FELL_SHORT })
 }
@@ -380,7 +376,7 @@
     say("Ctrl-C ends it.\n");
     tokio::select! {
         _ = stopped() => {}
-        why = stage.world.broken_off() => eprintln!("lab: {why}"),
+        why = stage.world.broken_off() => eprintln!("testbed: {why}"),
         () = tokio::time::sleep(Duration::from_secs(args.seconds)) => {}
     }
     stage.take_down().await;
@@ -391,10 +387,11 @@
     let axes = args.sets.iter().map(|set| sweep::axis(set).map_err(|why| format!("--set {set}: {why}")));
     let axes = axes.collect::<Result<Vec<_>, _>>()?;
     let seeds = sweep::seeds(&args.seeds).map_err(|why| format!("--seeds {why}"))?;
-    let lab = std::env::current_exe().map_err(|e| format!("the lab does not find its own program: {e}"))?;
+    let testbed =
+        std::env::current_exe().map_err(|e| format!("the testbed does not find its own program: {e}"))?;
     let agents = programs(&args.agent)?;
     let asked = sweep::Asked {
-        lab: &lab,
+        testbed: &testbed,
         scenario: &args.scenario,
         axes: &axes,
         seeds: &seeds,
@@ -415,12 +412,12 @@
     }
     for (agent, sweep) in agents.iter().zip(&swept).skip(1) {
         say(&format!("{} against {}\n", agent.display(), agents[0].display()));
-        say(&micasail_lab::compare::compare(&swept[0], sweep)?);
+        say(&testbed::compare::compare(&swept[0], sweep)?);
     }
     Ok(HELD)
 }
 
-/// The programs that are named, or the agent beside the lab.
+/// The programs that are named, or the agent beside the testbed.
 fn programs(named: &[PathBuf]) -> Result<Vec<PathBuf>, String> {
     match named.is_empty() {
         true => Ok(vec![play::program(None)?]),
@@ -451,14 +448,15 @@
 }
 
 fn compare(args: &Compare) -> Result<u8, String> {
-    use micasail_lab::compare::{compare, Sweep};
+    use testbed::compare::{compare, Sweep};
     say(&compare(&Sweep::read(&args.base)?, &Sweep::read(&args.new)?)?);
     Ok(HELD)
 }
 
 fn saturate(args: &Saturate) -> Result<u8, String> {
     let agents = programs(&args.agent)?;
-    let lab = std::env::current_exe().map_err(|e| format!("the lab does not find its own program: {e}"))?;
+    let testbed =
+        std::env::current_exe().map_err(|e| format!("the testbed does not find its own program: {e}"))?;
     let core = saturate::cores()?;
     on_runtime(async {
         let bar = ProgressBar::new_spinner();
@@ -466,7 +464,7 @@
             bar.set_message(text.to_owned());
             bar.tick();
         };
-        let mut costs = vec![saturate::measure("a bare relay", &lab, &["relay"], core, tell).await?];
+        let mut costs = vec![saturate::measure("a bare relay", &testbed, &["relay"], core, tell).await?];
         for agent in &agents {
             costs.push(saturate::measure(&agent.display().to_string(), agent, &[], core, tell).await?);
         }
--- a/lab/src/oracle.rs
+++ b/testbed/src/oracle.rs
@@ -1,6 +1,6 @@
 //! The ledger of a play and the rules that are judged from it.
 //!
-//! It is told what crossed the lab's sockets and when, and nothing else. A rule is judged when the event that breaks it
+//! It is told what crossed the testbed's sockets and when, and nothing else. A rule is judged when the event that breaks it
 //! is written down, so each breach can be named with its request, agent, renderer and time.
 
 use crate::plan::{Plan, DRAIN_GRACE_US};
@@ -368,7 +368,7 @@
         Entry::Known { number, arrival }
     }
 
-    /// What an attempt was answered: nothing if its connection broke. Written when the answer leaves the lab.
+    /// What an attempt was answered: nothing if its connection broke. Written when the answer leaves the testbed.
     pub fn answered(&mut self, id: TryId, number: usize, status: Option<u16>, never_ran: bool) {
         let kind = match status {
             Some(200) => "served",
--- a/lab/src/plan.rs
+++ b/testbed/src/plan.rs
@@ -44,7 +44,7 @@
     pub sockets: usize,
     /// Memory of an agent.
     pub memory_mb: u32,
-    /// The lab stands between agents as well.
+    /// The testbed stands between agents as well.
     pub peers: bool,
     /// What clients do.
     pub clients: Clients,
--- a/lab/src/play.rs
+++ b/testbed/src/play.rs
@@ -194,7 +194,7 @@
     }
 }
 
-/// Finds the agent's program: the one that is named, or `bellcroft` beside the lab's own, built first where the lab was
+/// Finds the agent's program: the one that is named, or `balancer-agent` beside the testbed's own, built first where the testbed was
 /// started by cargo.
 pub fn program(named: Option<&Path>) -> Result<PathBuf, String> {
     if let Some(named) = named {
@@ -205,12 +205,13 @@
             Err(format!("--agent {}: no program", named.display()))
         };
     }
-    beside("bellcroft").map_err(|why| format!("{why}, or name one with --agent"))
+    beside("balancer-agent").map_err(|why| format!("{why}, or name one with --agent"))
 }
 
-/// A program of this workspace beside the lab's own, built first where the lab was started by cargo.
+/// A program of this workspace beside the testbed's own, built first where the testbed was started by cargo.
 pub fn beside(name: &str) -> Result<PathBuf, String> {
-    let own = std::env::current_exe().map_err(|e| format!("the lab does not find its own program: {e}"))?;
+    let own =
+        std::env::current_exe().map_err(|e| format!("the testbed does not find its own program: {e}"))?;
     // A test's program lies one folder deeper.
     let folder = own.parent().map(|f| if f.ends_with("deps") { f.parent().unwrap_or(f) } else { f });
     let beside = folder.unwrap_or(Path::new(".")).join(name);
--- a/lab/src/report.rs
+++ b/testbed/src/report.rs
@@ -152,7 +152,7 @@
             format!("{}; {}; {}", played.probes, played.renderer_connections, played.client_connections),
         ),
         (
-            "the lab's own lateness in ms: p50, p99, most",
+            "the testbed's own lateness in ms: p50, p99, most",
             format!("{:.1}, {:.1}, {:.1}", played.late_p50_ms, played.late_p99_ms, played.late_most_ms),
         ),
     ];
--- a/lab/src/result.rs
+++ b/testbed/src/result.rs
@@ -1,4 +1,4 @@
-//! What a play came to, as `result.json` states it. The keys are described in `docs/proving-ground.md`.
+//! What a play came to, as `result.json` states it. The keys are described in `docs/testbed.md`.
 
 use crate::clock::histogram;
 use crate::oracle::{Ledger, Rules, TryEnd, Window};
@@ -105,13 +105,13 @@
     pub p99_ms: f64,
     /// The 99.9th.
     pub p999_ms: f64,
-    /// The lab's own lateness at the median,
+    /// The testbed's own lateness at the median,
     pub late_p50_ms: f64,
     /// the 99th percentile,
     pub late_p99_ms: f64,
     /// and the most.
     pub late_most_ms: f64,
-    /// Processor time of the lab for each request, in microseconds.
+    /// Processor time of the testbed for each request, in microseconds.
     pub lab_cpu_us_per_request: f64,
     /// Processor time of all agents for each request.
     pub agent_cpu_us_per_request: f64,
@@ -178,7 +178,7 @@
     Failed,
 }
 
-/// What the lab knows of its own part in a play.
+/// What the testbed knows of its own part in a play.
 pub struct Own {
     /// When the play ended.
     pub ended_at: Micros,
--- a/lab/src/saturate.rs
+++ b/testbed/src/saturate.rs
@@ -38,9 +38,9 @@
 const RATE_MOST: f64 = 64_000.0;
 /// The rate at which the cost of a request is taken, which everything here can bear.
 const COST_RATE: f64 = 2000.0;
-/// A lab that is so late with a request has lost the rate, and the rest of the step tells nothing.
+/// A testbed that is so late with a request has lost the rate, and the rest of the step tells nothing.
 const BEHIND: Duration = Duration::from_millis(100);
-/// A step in which the lab was late by this at the 99th percentile was missed by the lab, and not by the agent. Its timers
+/// A step in which the testbed was late by this at the 99th percentile was missed by the testbed, and not by the agent. Its timers
 /// go by whole milliseconds, so two are nothing.
 const LAB_LATE_MS: f64 = 3.0;
 /// Connections of clients at most, and how long one waits for its answer.
@@ -61,7 +61,7 @@
     pub program: String,
     /// The highest rate that it passed with answers in time, requests a second.
     pub rate: f64,
-    /// What kept it from more: the program, or the lab, which then was late itself.
+    /// What kept it from more: the program, or the testbed, which then was late itself.
     pub held_back_by: &'static str,
     /// Its 99th percentile at that rate, in milliseconds.
     pub p99_ms: f64,
@@ -148,7 +148,7 @@
     Ok((listener, address))
 }
 
-/// A core for the agent alone; the lab takes the others. Where there is but one, they share it.
+/// A core for the agent alone; the testbed takes the others. Where there is but one, they share it.
 pub fn cores() -> Result<usize, String> {
     let set =
         rustix::thread::sched_getaffinity(None).map_err(|e| format!("the cores cannot be told: {e}"))?;
@@ -164,7 +164,7 @@
 }
 
 /// Starts a program that is told this configuration, with a folder of its own beside it, on one core. It ends with the
-/// lab, and must be started from a thread that lives as long as it shall.
+/// testbed, and must be started from a thread that lives as long as it shall.
 pub(crate) fn spawn(
     program: &Path,
     args: &[&str],
@@ -382,7 +382,7 @@
         if held.passed() {
             (rate, p99_ms) = (next, held.p99_ms);
         } else {
-            (failed, held_back_by) = (next, if held.lab_late { "the lab" } else { "the program" });
+            (failed, held_back_by) = (next, if held.lab_late { "the testbed" } else { "the program" });
         }
         next = if failed.is_finite() { (rate + failed) / 2.0 } else { next * 2.0 };
         if failed.is_finite() && failed - rate < rate * CLOSE {
--- a/lab/src/scale/depth.rs
+++ b/testbed/src/scale/depth.rs
@@ -10,11 +10,11 @@
 //! - It makes one call, and repeats nothing. What does repeat here are the agents.
 //! - A failure below is one of its own: 500. A refusal below (429 or 503 from the agent, which says by the protocol page
 //!   that a further try is harmless) passes on as 503. That carries `X-Not-Processed: 1` where nothing of this call has
-//!   run at the deepest by then, by any attempt: the lab knows. An agent refuses also what has run and may be repeated, and
+//!   run at the deepest by then, by any attempt: the testbed knows. An agent refuses also what has run and may be repeated, and
 //!   an application that cannot tell the two apart would have to leave the word off.
 //!
 //! Times are counted from when a call was due. The chain is also called without its agents, each renderer straight to one
-//! of the next level, for what the lab's own part of a hop takes.
+//! of the next level, for what the testbed's own part of a hop takes.
 
 use super::{check_sizes, fit::Point, load, read, Figure, Scaled};
 use crate::draw::Seed;
@@ -66,7 +66,7 @@
 const AWAKE: Duration = Duration::from_micros(1500);
 /// After the last call's deadline what is under way may end.
 const REST: Duration = Duration::from_millis(250);
-/// At this lateness at the 99th percentile, in milliseconds, the lab was late by more than an agent adds.
+/// At this lateness at the 99th percentile, in milliseconds, the testbed was late by more than an agent adds.
 const LATE_MS: f64 = 3.0;
 
 #[derive(Debug, Clone, Deserialize)]
@@ -166,7 +166,7 @@
 struct Look {
     state: State,
     class: &'static str,
-    /// The chain has its agents, and is not the lab alone.
+    /// The chain has its agents, and is not the testbed alone.
     agents: bool,
     name: &'static str,
     what: &'static str,
@@ -212,7 +212,7 @@
         attempts: ("depth_attempts_well", "attempts at the deepest for a call while it is well"),
         ..look!("well", State::Well, SAFE, "is well")
     },
-    Look { agents: false, ..look!("lab", State::Well, SAFE, "is well, without agents") },
+    Look { agents: false, ..look!("testbed", State::Well, SAFE, "is well, without agents") },
     look!("fail", State::Fails, SAFE, "fails"),
     look!("refuse", State::Refuses, SAFE, "refuses"),
     look!("slow", State::Slow, SAFE, "is slow"),
@@ -486,7 +486,7 @@
         }
         let mut calls: Vec<(usize, Call)> = Vec::new();
         while let Some(done) = tasks.join_next().await {
-            // A panic breaks the lab off.
+            // A panic breaks the testbed off.
             calls.extend(done.ok());
         }
         sleep(REST).await;
@@ -661,12 +661,12 @@
     let asked: Asked = read(file, BUILT_IN)?;
     let name = file.map_or("built in".into(), |file| file.display().to_string());
     asked.check().map_err(|why| format!("{name}: {why}"))?;
-    let mut scaled = Scaled { by: "lab scale depth".into(), load: load(), ..Scaled::default() };
+    let mut scaled = Scaled { by: "testbed scale depth".into(), load: load(), ..Scaled::default() };
     let bar = ProgressBar::new((asked.repeats * asked.depths.len() * asked.states.len()) as u64);
     let mut late = 0.0f64;
     for repeat in 0..asked.repeats {
         for &depth in &asked.depths {
-            // A keyed class and the lab alone are looked at once, for what they differ.
+            // A keyed class and the testbed alone are looked at once, for what they differ.
             let taken = LOOKS.into_iter().filter(|look| asked.states.iter().any(|state| state == look.name));
             for look in taken.filter(|look| repeat == 0 || look.class == SAFE && look.agents) {
                 bar.set_message(format!("{depth} deep, the deepest {}", look.what));
@@ -740,8 +740,8 @@
         2f64.powi(deepest as i32)
     ));
     scaled.notes.push(format!(
-        "the lab was late by {late:.2} ms at the 99th percentile of the worst well chain, counted in the added times{}",
-        if late > LATE_MS { ": they are the lab's as much as the agents'" } else { "" }
+        "the testbed was late by {late:.2} ms at the 99th percentile of the worst well chain, counted in the added times{}",
+        if late > LATE_MS { ": they are the testbed's as much as the agents'" } else { "" }
     ));
     scaled.notes.push("growth of attempts over hops is no line: the factor a hop is what to take".into());
 }
--- a/lab/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -1,11 +1,11 @@
 //! Hollow agents: many of the program's own drivers in one process, each with its own discovery client, list and module,
 //! and with its second address where that is asked for; without the application's side. A process of them is a child of
-//! the lab, so that what it uses is told apart from what the lab's stand-ins use.
+//! the testbed, so that what it uses is told apart from what the testbed's stand-ins use.
 
 use crate::stage::processes::{bind_to_this, memory_mb, scheduled};
-use bellcroft::staff::operator;
-use bellcroft::staff::words::Staff;
-use bellcroft::{Config, Driver};
+use balancer_agent::staff::operator;
+use balancer_agent::staff::words::Staff;
+use balancer_agent::{Config, Driver};
 use serde_json::json;
 use std::io::{BufRead, Write};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -72,11 +72,11 @@
 }
 
 fn say(line: &str) {
-    // A lab that has gone hears nothing, and its end ends this process as well.
+    // A testbed that has gone hears nothing, and its end ends this process as well.
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
-/// Holds the agents, and answers the lab's lines, until there are no more of them.
+/// Holds the agents, and answers the testbed's lines, until there are no more of them.
 pub async fn run(args: Args) -> Result<(), String> {
     tokio::task::LocalSet::new().run_until(hold(args)).await
 }
@@ -105,7 +105,7 @@
                 let known = knows(&agents, server, Duration::from_secs(seconds)).await;
                 say(&json!(known).to_string());
             }
-            _ => return Err(format!("no line of the lab: {line}")),
+            _ => return Err(format!("no line of the testbed: {line}")),
         }
     }
     Ok(())
@@ -185,11 +185,11 @@
         per_process: usize,
         staff: Option<u16>,
     ) -> Result<Self, String> {
-        let lab =
-            std::env::current_exe().map_err(|e| format!("the lab does not find its own program: {e}"))?;
+        let testbed =
+            std::env::current_exe().map_err(|e| format!("the testbed does not find its own program: {e}"))?;
         let mut hollows = Hollows { processes: Vec::new(), bytes_each: 0.0 };
         for first in (0..count).step_by(per_process) {
-            let mut command = Command::new(&lab);
+            let mut command = Command::new(&testbed);
             command.arg("hollow").arg("--config").arg(config).args(["--first", &first.to_string()]);
             command.args(["--count", &per_process.min(count - first).to_string()]);
             if let Some(port) = staff {
@@ -197,9 +197,9 @@
             }
             command.env_clear().stdin(Stdio::piped()).stdout(Stdio::piped()).kill_on_drop(true);
             bind_to_this(&mut command, None);
-            let mut child = command.spawn().map_err(|e| format!("{}: {e}", lab.display()))?;
+            let mut child = command.spawn().map_err(|e| format!("{}: {e}", testbed.display()))?;
             let (Some(stdin), Some(stdout)) = (child.stdin.take(), child.stdout.take()) else {
-                return Err("a process of hollow agents has no lines to the lab".into());
+                return Err("a process of hollow agents has no lines to the testbed".into());
             };
             hollows.processes.push(Process { child, stdin, lines: BufReader::new(stdout).lines() });
         }
--- a/lab/src/scale/list.rs
+++ b/testbed/src/scale/list.rs
@@ -42,11 +42,11 @@
 const READY_WITHIN: Duration = Duration::from_secs(30);
 /// An agent that has just become ready finishes what it began.
 const SETTLE: Duration = Duration::from_millis(500);
-/// Seconds of calls straight to a renderer, which tell what is the lab's own in a call's time.
+/// Seconds of calls straight to a renderer, which tell what is the testbed's own in a call's time.
 const DIRECT_S: f64 = 0.6;
 /// An event comes this far into the calls that look for its hold-up.
 const LEAD: Duration = Duration::from_millis(300);
-/// A part in which the lab was late is measured so many times more.
+/// A part in which the testbed was late is measured so many times more.
 const RETRIES: usize = 2;
 const CLASS: &str = "search";
 
@@ -192,7 +192,7 @@
     ("list_whole_bytes", "the whole list as discovery words it", "bytes"),
 ];
 
-/// Those that are told less the lab's own time.
+/// Those that are told less the testbed's own time.
 const ADDED: [&str; 4] =
     ["list_quiet_p99_ms", "list_quiet_worst_ms", "list_added_p99_ms", "list_added_worst_ms"];
 
@@ -204,11 +204,11 @@
     descriptors: usize,
     /// The longest that an agent waited for its core, as a share of a part, and where.
     waited: (f64, String),
-    /// The lab's own lateness at the 99th percentile, at worst, of what counts.
+    /// The testbed's own lateness at the 99th percentile, at worst, of what counts.
     late_ms: f64,
-    /// The least median of calls straight to a renderer, in milliseconds: what of a call's time is the lab's own.
+    /// The least median of calls straight to a renderer, in milliseconds: what of a call's time is the testbed's own.
     own_ms: f64,
-    /// Seconds left for measuring anew what the lab was late in.
+    /// Seconds left for measuring anew what the testbed was late in.
     retry_s: f64,
 }
 
@@ -250,12 +250,14 @@
     }
 }
 
-/// Measures an agent's program by the file, or by the lab's own. One agent at a time, alone on the last core; the lab
+/// Measures an agent's program by the file, or by the testbed's own. One agent at a time, alone on the last core; the testbed
 /// keeps to the others. Errors: bad input, or an agent that does not start.
 pub async fn run(file: Option<&Path>, program: &Path) -> Result<Scaled, String> {
     let plan = Plan::read(file)?;
-    let by =
-        file.map_or_else(|| "lab scale list".to_owned(), |file| format!("lab scale list {}", file.display()));
+    let by = file.map_or_else(
+        || "testbed scale list".to_owned(),
+        |file| format!("testbed scale list {}", file.display()),
+    );
     let program = program.to_owned();
     let load = load();
     // The runtime that this is called on has threads on every core: what is measured needs one that keeps off the agent's.
@@ -304,7 +306,7 @@
         ),
         format!("agents held {} descriptors at the most", sheet.descriptors),
         format!(
-            "an agent waited for its own core, where others run as well, for at most {:.1}% of a part ({place}); the lab was \
+            "an agent waited for its own core, where others run as well, for at most {:.1}% of a part ({place}); the testbed was \
              late by {:.2} ms at the 99th percentile at worst",
             share * 100.0,
             sheet.late_ms
@@ -324,7 +326,7 @@
 /// What a part of the measurement came to.
 struct Part<T> {
     used: Used,
-    /// The lab itself was not late.
+    /// The testbed itself was not late.
     in_time: bool,
     done: T,
 }
@@ -352,12 +354,12 @@
 impl<'a> Stage<'a> {
     async fn set_up(plan: &'a Plan, program: &Path, core: usize, size: usize) -> Result<Self, String> {
         let folder = tempfile::tempdir().map_err(|e| format!("no folder for the agent: {e}"))?;
-        // A row of its own for each lab that runs at the time.
+        // A row of its own for each testbed that runs at the time.
         let own = std::process::id().to_be_bytes();
         let ip = Ipv4Addr::new(127, 201, own[2], own[3].max(1));
         let bind = || async move {
             let listener = TcpListener::bind((ip, 0)).await;
-            let listener = listener.map_err(|e| format!("the lab cannot listen on {ip}: {e}"))?;
+            let listener = listener.map_err(|e| format!("the testbed cannot listen on {ip}: {e}"))?;
             let address = listener.local_addr().map_err(|e| e.to_string())?;
             Ok::<_, String>((listener, address))
         };
@@ -438,8 +440,8 @@
         Pace { path: "/ready".into(), rate, connections: DENSE_CONNECTIONS, ..self.calls(seconds) }
     }
 
-    /// Measures until the lab itself was in time, or as often as the file's time for that allows. What the agent used counts
-    /// however late the lab was; figures of time do not, and a note says so.
+    /// Measures until the testbed itself was in time, or as often as the file's time for that allows. What the agent used counts
+    /// however late the testbed was; figures of time do not, and a note says so.
     async fn in_time<T, F>(
         &self,
         sheet: &mut Sheet,
@@ -466,7 +468,7 @@
             if in_time {
                 sheet.late_ms = sheet.late_ms.max(late_ms);
             } else {
-                let what = "no figure of time, the lab was late itself by";
+                let what = "no figure of time, the testbed was late itself by";
                 sheet.note(
                     self.size,
                     format!("{part}: {what} {late_ms:.1} ms at the 99th percentile (try {tries})"),
--- a/lab/src/scale/list/probe.rs
+++ b/testbed/src/scale/list/probe.rs
@@ -36,7 +36,7 @@
 pub struct Heard {
     /// Microseconds from when a call was due until its answer was whole.
     pub times: Histogram<u64>,
-    /// Microseconds that the lab was late with a call although a connection was free.
+    /// Microseconds that the testbed was late with a call although a connection was free.
     pub late: Histogram<u64>,
     /// Calls that were not answered by 200.
     pub unserved: u64,
@@ -52,7 +52,7 @@
         self.times.value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// The lab's own lateness at the 99th percentile, in milliseconds.
+    /// The testbed's own lateness at the 99th percentile, in milliseconds.
     pub fn late_ms(&self) -> f64 {
         self.late.value_at_quantile(0.99) as f64 / 1e3
     }
--- a/lab/src/scale/list/tests.rs
+++ b/testbed/src/scale/list/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 fn plan() -> Plan {
-    super::read(None, BUILT_IN).expect("the lab's own file")
+    super::read(None, BUILT_IN).expect("the testbed's own file")
 }
 
 fn servers(size: usize) -> Vec<Server> {
--- a/lab/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -1,5 +1,5 @@
 //! What things cost by size: one measurement at four sizes or more, a table, and a fitted slope with its interval, in the
-//! words that `lab capacity` reads. See `docs/proving-ground.md`.
+//! words that `testbed capacity` reads. See `docs/testbed.md`.
 
 pub mod depth;
 pub mod fit;
@@ -18,7 +18,7 @@
 /// One figure over sizes.
 #[derive(Debug, Clone)]
 pub struct Figure {
-    /// What `lab capacity` calls it, as in `list_memory_bytes`.
+    /// What `testbed capacity` calls it, as in `list_memory_bytes`.
     pub name: &'static str,
     /// What it is, for a person.
     pub what: &'static str,
@@ -141,7 +141,7 @@
         text
     }
 
-    /// The slopes in the words that `lab capacity` reads.
+    /// The slopes in the words that `testbed capacity` reads.
     pub fn slopes(&self) -> String {
         let mut text = String::new();
         for figure in &self.figures {
--- a/lab/src/scale/renderer.rs
+++ b/testbed/src/scale/renderer.rs
@@ -230,7 +230,7 @@
     let figures =
         FIGURES.map(|(name, what, unit)| Figure { name, what, unit, per: "agent", points: Vec::new() });
     let mut scaled = Scaled {
-        by: "lab scale renderer".into(),
+        by: "testbed scale renderer".into(),
         figures: figures.into(),
         load: load(),
         ..Scaled::default()
@@ -267,7 +267,7 @@
     }
     let fell = if seen.fell { ", the cold renderer fell over" } else { "" };
     scaled.notes.push(format!(
-        "{agents} agents: served {:.1}%, the lab was late by {:.2} ms at the 99th percentile{fell}",
+        "{agents} agents: served {:.1}%, the testbed was late by {:.2} ms at the 99th percentile{fell}",
         100.0 * seen.served,
         seen.late_ms
     ));
--- a/lab/src/scale/source.rs
+++ b/testbed/src/scale/source.rs
@@ -218,7 +218,7 @@
 async fn listen(address: SocketAddr) -> Result<TcpListener, String> {
     let listener = crate::stage::gate::bind(address).await?;
     rustix::net::listen(&listener, BACKLOG)
-        .map_err(|e| format!("the lab cannot listen on {address}: {e}"))?;
+        .map_err(|e| format!("the testbed cannot listen on {address}: {e}"))?;
     Ok(listener)
 }
 
--- a/lab/src/scale/staff.rs
+++ b/testbed/src/scale/staff.rs
@@ -1,4 +1,4 @@
-//! `bellctl status` by the agents that it asks: real processes of the program, and past them hollow agents with second
+//! `balancerctl status` by the agents that it asks: real processes of the program, and past them hollow agents with second
 //! addresses of their own.
 
 use super::fit::{fit, Point};
@@ -64,12 +64,12 @@
 
 /// Name, what it is, unit.
 const FIGURES: [(&str, &str, &str); 3] = [
-    ("staff_status_s", "time of bellctl status, from its start to its end", "s"),
+    ("staff_status_s", "time of balancerctl status, from its start to its end", "s"),
     ("staff_status_bytes", "what status and the agents send each other", "bytes"),
-    ("staff_status_cpu_s", "processor time of bellctl status", "s"),
+    ("staff_status_cpu_s", "processor time of balancerctl status", "s"),
 ];
 
-/// What one call of bellctl came to.
+/// What one call of balancerctl came to.
 struct Told {
     seconds: f64,
     cpu_s: f64,
@@ -79,12 +79,12 @@
     fault: String,
 }
 
-struct Bellctl {
+struct Balancerctl {
     program: PathBuf,
     timeout_ms: u64,
 }
 
-impl Bellctl {
+impl Balancerctl {
     /// Runs `status` over the agents of a file.
     async fn status(&self, agents: &Path) -> Result<Told, String> {
         let mut command = Command::new(&self.program);
@@ -99,7 +99,7 @@
             let child = command.as_std_mut().spawn().map_err(&at)?;
             told(child, begun).map_err(&at)
         };
-        tokio::task::spawn_blocking(ran).await.map_err(|e| format!("bellctl was not waited for: {e}"))?
+        tokio::task::spawn_blocking(ran).await.map_err(|e| format!("balancerctl was not waited for: {e}"))?
     }
 }
 
@@ -153,8 +153,8 @@
         let mut agents: Vec<(String, SocketAddr)> =
             (0..real).map(|n| (format!("n{n}"), stage.agents.operator(&stage.world, n))).collect();
         let claim = TcpListener::bind((Ipv4Addr::new(127, 205, 0, 1), 0));
-        let claim = claim.map_err(|e| format!("the lab cannot listen on 127.205.0.1: {e}"))?;
-        let port = claim.local_addr().map_err(|e| format!("the lab has no port: {e}"))?.port();
+        let claim = claim.map_err(|e| format!("the testbed cannot listen on 127.205.0.1: {e}"))?;
+        let port = claim.local_addr().map_err(|e| format!("the testbed has no port: {e}"))?.port();
         let source = Source::start(file.servers).await?;
         let config = folder.join("hollow.json");
         std::fs::write(&config, hollow::config(source.address))
@@ -196,7 +196,7 @@
         Ok(file)
     }
 
-    /// What `status` says to some agents, and they to it, each call asked once more by the lab.
+    /// What `status` says to some agents, and they to it, each call asked once more by the testbed.
     async fn bytes(&self, some: std::ops::Range<usize>) -> Result<f64, String> {
         let mut bytes = 0;
         for (name, address) in &self.agents[some] {
@@ -213,11 +213,11 @@
 /// Measures it at each size.
 pub async fn run(file: Option<&Path>, program: &Path) -> Result<Scaled, String> {
     let file = File::read(file)?;
-    let bellctl = Bellctl { program: play::beside("bellctl")?, timeout_ms: file.timeout_ms };
+    let balancerctl = Balancerctl { program: play::beside("balancerctl")?, timeout_ms: file.timeout_ms };
     let load = super::load();
     let folder = tempfile::tempdir().map_err(|e| format!("no folder for the agents: {e}"))?;
     let fleet = Fleet::start(&file, program, folder.path()).await?;
-    let measured = measure(&file, &bellctl, &fleet, folder.path(), load).await;
+    let measured = measure(&file, &balancerctl, &fleet, folder.path(), load).await;
     drop((fleet.hollows, fleet.source));
     fleet.stage.take_down().await;
     measured
@@ -225,7 +225,7 @@
 
 async fn measure(
     file: &File,
-    bellctl: &Bellctl,
+    balancerctl: &Balancerctl,
     fleet: &Fleet,
     folder: &Path,
     load: f64,
@@ -244,7 +244,7 @@
     let mut printed = 0;
     for _ in 0..file.repeats {
         for &size in &file.sizes {
-            let told = bellctl.status(&fleet.file(folder, 0..size)?).await?;
+            let told = balancerctl.status(&fleet.file(folder, 0..size)?).await?;
             if told.code != Some(0) {
                 notes.push(format!(
                     "at {size}: a status ended with {:?} after {:.2} s and is left out: {}",
@@ -260,7 +260,7 @@
         }
     }
     notes.push(format!("at the last size it prints {printed} bytes"));
-    notes.extend(hollow_beside_real(file, bellctl, fleet, folder).await?);
+    notes.extend(hollow_beside_real(file, balancerctl, fleet, folder).await?);
     let at = file.planned;
     for figure in &figures {
         if let Ok(fit) = fit(&figure.points) {
@@ -272,14 +272,14 @@
             ));
         }
     }
-    notes.push(refusal(file, bellctl, folder).await?);
-    Ok(Scaled { by: "lab scale staff".into(), figures: figures.into(), notes, load })
+    notes.push(refusal(file, balancerctl, folder).await?);
+    Ok(Scaled { by: "testbed scale staff".into(), figures: figures.into(), notes, load })
 }
 
 /// Whether hollow agents stand for real ones: as many of each, in turn.
 async fn hollow_beside_real(
     file: &File,
-    bellctl: &Bellctl,
+    balancerctl: &Balancerctl,
     fleet: &Fleet,
     folder: &Path,
 ) -> Result<Option<String>, String> {
@@ -291,8 +291,8 @@
     let (real, hollow) = (fleet.file(folder, 0..size)?, fleet.file(folder, hollows.clone())?);
     let (mut of_real, mut of_hollow) = (Vec::new(), Vec::new());
     for _ in 0..file.repeats {
-        of_real.push(bellctl.status(&real).await?);
-        of_hollow.push(bellctl.status(&hollow).await?);
+        of_real.push(balancerctl.status(&real).await?);
+        of_hollow.push(balancerctl.status(&hollow).await?);
     }
     let least = |told: &[Told], of: fn(&Told) -> f64| told.iter().map(of).fold(f64::INFINITY, f64::min);
     Ok(Some(format!(
@@ -308,8 +308,8 @@
     )))
 }
 
-/// What bellctl says to a file with as many agents as are planned, none of which is there.
-async fn refusal(file: &File, bellctl: &Bellctl, folder: &Path) -> Result<String, String> {
+/// What balancerctl says to a file with as many agents as are planned, none of which is there.
+async fn refusal(file: &File, balancerctl: &Balancerctl, folder: &Path) -> Result<String, String> {
     let mut text = String::new();
     for n in 0..file.planned {
         // Writing to a string cannot fail. Nobody listens on the first port of any address.
@@ -317,7 +317,7 @@
     }
     let agents = folder.join("planned");
     std::fs::write(&agents, text).map_err(|e| format!("{}: {e}", agents.display()))?;
-    let told = bellctl.status(&agents).await?;
+    let told = balancerctl.status(&agents).await?;
     let fault = told.fault.replace(&*folder.to_string_lossy(), "");
     let code = told.code.map_or("by a signal".to_owned(), |code| code.to_string());
     Ok(format!("a file of {} agents, none of them there: exit {code}, {fault}", file.planned))
--- a/lab/src/scale/watchers.rs
+++ b/testbed/src/scale/watchers.rs
@@ -13,7 +13,7 @@
 
 /// More have no room: each takes a descriptor here and one of its own, and half a megabyte.
 const AGENTS_MOST: usize = 10_000;
-/// Descriptors of the lab that are not agents'.
+/// Descriptors of the testbed that are not agents'.
 const SPARE: usize = 200;
 /// What is not in force by then is not measured.
 const WITHIN: Duration = Duration::from_secs(30);
@@ -339,13 +339,13 @@
     }
 }
 
-/// Measures it at each size. The agents are the lab's own hollow ones, so no program is started.
+/// Measures it at each size. The agents are the testbed's own hollow ones, so no program is started.
 pub async fn run(file: Option<&Path>, _program: &Path) -> Result<Scaled, String> {
     let file = File::read(file)?;
     let figure =
         |(name, what, unit)| Figure { name, what, unit, per: "agent that watches", points: Vec::new() };
     let scaled = Scaled {
-        by: "lab scale watchers".into(),
+        by: "testbed scale watchers".into(),
         figures: FIGURES.into_iter().map(figure).collect(),
         notes: Vec::new(),
         load: super::load(),
@@ -353,7 +353,7 @@
     let mut test = Test { scaled, file };
     test.note(format!(
         "a list of {} servers, {} after the cut; agents are hollow: the program's own driver, discovery client, list and \
-         module as they are built into lab (--agent plays no part here), {} to a process of one thread, without requests",
+         module as they are built into testbed (--agent plays no part here), {} to a process of one thread, without requests",
         test.file.servers, test.file.cut_servers, test.file.agents_per_process
     ));
     test.note(
--- a/lab/src/scenario.rs
+++ b/testbed/src/scenario.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The scenarios that come with the lab.
+/// The scenarios that come with the testbed.
 pub const BUILT_IN: &[(&str, &str)] = &[
     ("quickstart", include_str!("../scenarios/quickstart.toml")),
     ("calm", include_str!("../scenarios/calm.toml")),
@@ -55,7 +55,7 @@
     /// First tries a second. With it, work, aims and deadlines are scaled so that the load is met; without it they are
     /// the brief's and the rate follows from the load.
     pub rate: Option<f64>,
-    /// The lab's own lateness at the 99th percentile over which a play has no verdict.
+    /// The testbed's own lateness at the 99th percentile over which a play has no verdict.
     #[serde(default = "late_most")]
     pub late_p99_most_ms: f64,
     /// The zones.
@@ -236,7 +236,7 @@
     /// Memory of each.
     #[serde(default = "memory")]
     pub memory_mb: u32,
-    /// The lab stands between them as well, for programs that talk to each other.
+    /// The testbed stands between them as well, for programs that talk to each other.
     #[serde(default)]
     pub peers: bool,
 }
@@ -551,7 +551,7 @@
     }
 }
 
-/// Reads a scenario: one that comes with the lab by its name, or a file. Returns its name too.
+/// Reads a scenario: one that comes with the testbed by its name, or a file. Returns its name too.
 pub fn find(name: &str, sets: &[(String, String)]) -> Result<(String, Scenario), Bad> {
     if let Some((name, text)) = BUILT_IN.iter().find(|(built_in, _)| *built_in == name) {
         return Ok(((*name).to_owned(), read(name, text, sets)?));
@@ -766,7 +766,8 @@
         let peers = self.between == Some(Between::Agents) || self.kind == Kin::Doubles;
         if peers && !scenario.agents.peers {
             return Err(
-                "between agents: agents.peers = true was expected, or the lab does not stand there".into()
+                "between agents: agents.peers = true was expected, or the testbed does not stand there"
+                    .into(),
             );
         }
         only("part", peers && self.part.is_some(), false)?;
--- a/lab/src/stage/directory.rs
+++ b/testbed/src/stage/directory.rs
@@ -321,7 +321,7 @@
     async fn answer(world: &Arc<World>, agent: usize, uri: String) -> Response<Full<Bytes>> {
         let directory = &world.directory;
         let mut changes = directory.views[agent].subscribe();
-        // The lab answers as long as it lives.
+        // The testbed answers as long as it lives.
         let _ = changes.wait_for(|view| view.mood != Mood::Silent).await;
         if !uri.starts_with("/v1/endpoints") {
             let mut response = Response::new(Full::new(Bytes::from_static(b"no such path\n")));
--- a/lab/src/stage/gate.rs
+++ b/testbed/src/stage/gate.rs
@@ -78,7 +78,7 @@
 /// Binds a listener whose port may have been in use a moment ago.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener, String> {
     let bound = TcpListener::bind(address).await;
-    bound.map_err(|e| format!("the lab cannot listen on {address}: {e}"))
+    bound.map_err(|e| format!("the testbed cannot listen on {address}: {e}"))
 }
 
 /// A listener that lets nobody in: its queue is as short as the kernel has it, and full. The kernel then drops what
--- a/lab/src/stage/mod.rs
+++ b/testbed/src/stage/mod.rs
@@ -27,7 +27,7 @@
 const RENDERERS: u16 = 20_000;
 /// Held by the play that owns a block of addresses.
 const CLAIM: u16 = 19_999;
-/// Blocks 127.16/16 to 127.239/16 are the lab's; the first ones hold what else runs on a machine.
+/// Blocks 127.16/16 to 127.239/16 are the testbed's; the first ones hold what else runs on a machine.
 const BLOCKS: std::ops::Range<u8> = 16..240;
 
 /// The play's own addresses: 127.BLOCK.*.*, which no other play on this machine has.
@@ -102,7 +102,7 @@
     pub machines: Vec<Machine>,
     /// Discovery.
     pub directory: Directory,
-    /// The ways between agents, where the lab stands there.
+    /// The ways between agents, where the testbed stands there.
     pub peers: OnceLock<Arc<Peers>>,
     ledger: Mutex<Ledger>,
     /// Something broke the play off: why.
--- a/lab/src/stage/peers.rs
+++ b/testbed/src/stage/peers.rs
@@ -1,8 +1,8 @@
 //! The ways between agents: a relay for each directed pair, for datagrams and for connections.
 //!
 //! Agents name each other by addresses that are the same for all, so no address can tell a stand-in who calls, as it does
-//! at the renderers. An agent listens on an address that only the lab knows, and is known to the others by another one,
-//! which is the lab's: what comes there is told by its source, carried over the pair's link, and handed on as from the
+//! at the renderers. An agent listens on an address that only the testbed knows, and is known to the others by another one,
+//! which is the testbed's: what comes there is told by its source, carried over the pair's link, and handed on as from the
 //! sender's known address.
 
 use super::World;
@@ -67,7 +67,7 @@
         let mut sockets = Vec::new();
         let mut listeners = Vec::new();
         for address in &known {
-            let why = |e: io::Error| format!("the lab cannot listen on {address}: {e}");
+            let why = |e: io::Error| format!("the testbed cannot listen on {address}: {e}");
             sockets.push(UdpSocket::bind(address).await.map_err(why)?);
             listeners.push(TcpListener::bind(address).await.map_err(why)?);
         }
--- a/lab/src/stage/peers/tests.rs
+++ b/testbed/src/stage/peers/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Two agents that the lab stands between, on a block of addresses that nobody else has: a port that is free for
+/// Two agents that the testbed stands between, on a block of addresses that nobody else has: a port that is free for
 /// datagrams may be another test's for streams.
 async fn two() -> (Arc<Peers>, [UdpSocket; 2], Addresses) {
     let addresses = Addresses::claim().expect("a block");
--- a/lab/src/stage/processes.rs
+++ b/testbed/src/stage/processes.rs
@@ -110,7 +110,9 @@
             }
             let address = world.addresses.agent(place);
             let listener = std::net::TcpListener::bind(address);
-            listener.map(|l| Some(l.into())).map_err(|e| format!("the lab cannot listen on {address}: {e}"))
+            listener
+                .map(|l| Some(l.into()))
+                .map_err(|e| format!("the testbed cannot listen on {address}: {e}"))
         };
         let agents = (0..world.plan.agents.len())
             .map(|place| {
@@ -359,18 +361,18 @@
     .await;
 }
 
-/// The child dies with the lab, however that ends, and finds the inherited listener where it expects it.
+/// The child dies with the testbed, however that ends, and finds the inherited listener where it expects it.
 #[allow(unsafe_code)]
 pub fn bind_to_this(command: &mut Command, listener: Option<RawFd>) {
     let parent = rustix::process::getpid();
     let prepare = move || -> io::Result<()> {
         rustix::process::set_parent_process_death_signal(Some(Signal::KILL))?;
-        // The lab may have ended before the word was given to the kernel.
+        // The testbed may have ended before the word was given to the kernel.
         if rustix::process::getppid() != Some(parent) {
-            return Err(io::Error::other("the lab has ended"));
+            return Err(io::Error::other("the testbed has ended"));
         }
         if let Some(listener) = listener {
-            // SAFETY: the lab keeps the listener open for as long as it starts processes.
+            // SAFETY: the testbed keeps the listener open for as long as it starts processes.
             let listener = unsafe { std::os::fd::BorrowedFd::borrow_raw(listener) };
             // SAFETY: nothing in the child owns the descriptor's number: it is about to run another program.
             let mut inherited = unsafe { <OwnedFd as std::os::fd::FromRawFd>::from_raw_fd(LISTENER) };
@@ -387,7 +389,7 @@
 pub(crate) async fn is_ready(address: std::net::SocketAddr) -> bool {
     let asked = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
-        stream.write_all(b"GET /ready HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n").await.ok()?;
+        stream.write_all(b"GET /ready HTTP/1.1\r\nHost: testbed\r\nConnection: close\r\n\r\n").await.ok()?;
         let mut head = [0; 12];
         stream.read_exact(&mut head).await.ok()?;
         Some(&head == b"HTTP/1.1 200")
@@ -445,7 +447,7 @@
     Some(pages.split(' ').nth(1)?.parse::<f64>().ok()? * PAGE_KB / 1024.0)
 }
 
-/// Processor time of the lab itself, in seconds.
+/// Processor time of the testbed itself, in seconds.
 pub fn own_cpu_s() -> f64 {
     cpu_s(std::process::id()).unwrap_or(0.0)
 }
--- a/lab/src/sweep.rs
+++ b/testbed/src/sweep.rs
@@ -13,9 +13,9 @@
 
 /// Plays of one call at most.
 const PLAYS_MOST: usize = 10_000;
-/// A play in which the lab itself was late is played so often before the sweep gives up.
+/// A play in which the testbed itself was late is played so often before the sweep gives up.
 const TRIES: u32 = 3;
-/// What a play wants of a machine: processor time of the lab and the agents for each first try (measured at about a
+/// What a play wants of a machine: processor time of the testbed and the agents for each first try (measured at about a
 /// millisecond in all, agents included), of which half a core's worth is kept free, and a core for what comes in bunches.
 const CORE_S_PER_REQUEST: f64 = 0.002;
 const CORES_AT_REST: f64 = 1.0;
@@ -82,8 +82,8 @@
 
 /// A sweep as it is asked for.
 pub struct Asked<'a> {
-    /// The lab's program.
-    pub lab: &'a Path,
+    /// The testbed's program.
+    pub testbed: &'a Path,
     /// The scenario.
     pub scenario: &'a str,
     /// What is varied.
@@ -183,18 +183,18 @@
         let mut tries = 0;
         loop {
             tries += 1;
-            let mut run = Command::new(self.lab);
+            let mut run = Command::new(self.testbed);
             run.arg("run").arg(self.scenario).arg("--quiet").arg("--seed").arg(job.seed.to_string());
             run.arg("--agent").arg(&job.agent).arg("--out").arg(&job.folder);
             for (key, value) in &job.point {
                 run.arg("--set").arg(format!("{key}={value}"));
             }
             run.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-            let output = run.output().map_err(|e| format!("{}: {e}", self.lab.display()))?;
+            let output = run.output().map_err(|e| format!("{}: {e}", self.testbed.display()))?;
             match output.status.code() {
                 // What was not expected is a result too.
                 Some(0 | 1) => return Ok(()),
-                // The lab was late: its result is none, and it is played again.
+                // The testbed was late: its result is none, and it is played again.
                 Some(3) if tries < TRIES => {}
                 _ => {
                     let said = String::from_utf8_lossy(&output.stderr);
--- a/lab/src/table.rs
+++ b/testbed/src/table.rs
@@ -1,4 +1,4 @@
-//! What the lab prints for a person.
+//! What the testbed prints for a person.
 
 use crate::plan::Plan;
 use crate::play::Stage;
@@ -79,7 +79,7 @@
     );
     row(
         &mut text,
-        "the lab itself",
+        "the testbed itself",
         format!(
             "late by {:.1} ms at p99, {:.0} us CPU a request",
             played.late_p99_ms, played.lab_cpu_us_per_request
--- a/lab/tests/capacity.rs
+++ b/testbed/tests/capacity.rs
@@ -1,16 +1,16 @@
-//! `lab capacity` as a process: the page is as computed, and what is wrong with a page or a file is said in a line.
+//! `testbed capacity` as a process: the page is as computed, and what is wrong with a page or a file is said in a line.
 #![allow(missing_docs)]
 
-use micasail_lab::capacity::input;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
+use testbed::capacity::input;
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("the workspace").to_owned()
 }
 
-fn lab(args: &[&str]) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_lab"));
+fn testbed(args: &[&str]) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_testbed"));
     command.arg("capacity").args(args).current_dir(root()).output().expect("it runs")
 }
 
@@ -23,7 +23,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("small.toml");
     std::fs::write(&path, file).expect("a file");
-    lab(&[path.to_str().expect("a path")])
+    testbed(&[path.to_str().expect("a path")])
 }
 
 /// A table of the tables that a file of this text comes to.
@@ -31,7 +31,7 @@
     let output = of(file);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
     let all = text(&output.stdout);
-    let (_, rest) = all.split_once(&format!("<!-- lab capacity: {name} -->\n")).expect("its begin");
+    let (_, rest) = all.split_once(&format!("<!-- testbed capacity: {name} -->\n")).expect("its begin");
     rest.split_once("<!-- end -->").expect("its end").0.trim().to_owned()
 }
 
@@ -62,7 +62,7 @@
 from = 10
 to = 250
 runs = 12
-by = "lab scale test"
+by = "testbed scale test"
 load = 1.5
 [not_measured]
 other_s = "nobody yet"
@@ -97,14 +97,14 @@
 
 #[test]
 fn the_page_is_as_computed() {
-    let output = lab(&["--page", "docs/CAPACITY.md"]);
+    let output = testbed(&["--page", "docs/CAPACITY.md"]);
     assert_eq!(text(&output.stderr), "");
     assert_eq!(output.status.code(), Some(0));
 }
 
 #[test]
 fn two_calls_print_the_same_bytes() {
-    let [first, second] = [lab(&[]), lab(&["lab/capacity.toml"])];
+    let [first, second] = [testbed(&[]), testbed(&["testbed/capacity.toml"])];
     assert_eq!(first.status.code(), Some(0));
     assert!(!first.stdout.is_empty());
     assert_eq!(text(&first.stdout), text(&second.stdout));
@@ -126,14 +126,14 @@
     let row = "| `zone_renderers` | 830 |";
     let line = whole.lines().position(|line| line.contains(row)).expect("a row") + 1;
     let (_folder, path) = page(|page| page.replace(row, "| `zone_renderers` | 831 |"));
-    let output = lab(&["--page", &path]);
+    let output = testbed(&["--page", &path]);
     assert_eq!(output.status.code(), Some(1));
     let said = text(&output.stderr);
     assert!(said.contains(&format!("PAGE.md: table plan differs at line {line}: computed is ")), "{said}");
     assert!(said.contains("830") && said.lines().count() == 1, "{said}");
 
-    assert_eq!(lab(&["--page", &path, "--write"]).status.code(), Some(0));
-    assert_eq!(lab(&["--page", &path]).status.code(), Some(0));
+    assert_eq!(testbed(&["--page", &path, "--write"]).status.code(), Some(0));
+    assert_eq!(testbed(&["--page", &path]).status.code(), Some(0));
     assert_eq!(std::fs::read_to_string(&path).expect("the page"), whole);
 }
 
@@ -147,12 +147,13 @@
         (page(|page| page.replace(&format!("{row}\n"), row)), "table plan differs"),
         (
             page(|page| {
-                page.replace("<!-- lab capacity: plan -->", "").replace("<!-- end -->\n\nBounds", "Bounds")
+                page.replace("<!-- testbed capacity: plan -->", "")
+                    .replace("<!-- end -->\n\nBounds", "Bounds")
             }),
             "table plan is not on the page",
         ),
     ] {
-        let output = lab(&["--page", &change.1]);
+        let output = testbed(&["--page", &change.1]);
         let said = text(&output.stderr);
         assert_eq!(output.status.code(), Some(1), "{said}");
         assert!(said.contains(why) && said.lines().count() == 1, "{said}");
@@ -161,30 +162,30 @@
 
 #[test]
 fn a_page_whose_marks_make_no_sense_is_bad_input() {
-    let mark = "<!-- lab capacity: plan -->";
+    let mark = "<!-- testbed capacity: plan -->";
     for (change, why) in [
-        (page(|page| page.replace(mark, "<!-- lab capacity: plot -->")), "no table is called plot"),
+        (page(|page| page.replace(mark, "<!-- testbed capacity: plot -->")), "no table is called plot"),
         (
-            page(|page| page.replace(mark, "<!-- lab capacity: wrong -->")),
+            page(|page| page.replace(mark, "<!-- testbed capacity: wrong -->")),
             "table wrong stands there a second time",
         ),
         (page(|page| page.replace(mark, &format!("{mark}\n{mark}"))), "has no <!-- end --> before the next"),
-        (page(|page| page + "\n<!-- lab capacity: plan -->\n"), "table plan stands there a second time"),
+        (page(|page| page + "\n<!-- testbed capacity: plan -->\n"), "table plan stands there a second time"),
         (page(|page| page[..page.rfind("<!-- end -->").expect("an end")].to_owned()), "has no <!-- end -->"),
     ] {
         for how in [&["--page", change.1.as_str()][..], &["--page", &change.1, "--write"]] {
-            let output = lab(how);
+            let output = testbed(how);
             let said = text(&output.stderr);
             assert_eq!(output.status.code(), Some(2), "{said}");
             assert!(said.contains(why) && said.lines().count() == 1, "{why}: {said}");
         }
     }
     let (_folder, lacks) = page(|_| "# Nothing\n".to_owned());
-    let output = lab(&["--page", &lacks, "--write"]);
+    let output = testbed(&["--page", &lacks, "--write"]);
     assert_eq!(output.status.code(), Some(2));
     assert!(text(&output.stderr).contains("it has no table plan"));
-    assert_eq!(lab(&["--page", "docs/NO-SUCH.md"]).status.code(), Some(2));
-    assert_eq!(lab(&["--write"]).status.code(), Some(2));
+    assert_eq!(testbed(&["--page", "docs/NO-SUCH.md"]).status.code(), Some(2));
+    assert_eq!(testbed(&["--write"]).status.code(), Some(2));
 }
 
 #[test]
@@ -248,7 +249,7 @@
             "0.09 to 0.2",
             "10 to 250",
             "12",
-            "lab scale test",
+            "testbed scale test",
             "load 1.5 |",
         ],
     );
@@ -411,7 +412,7 @@
         ("runs = 12", "runs = 0", "slope.cost_s.runs is 0; a whole number, 1 or more was expected"),
         ("runs = 12", "runs = -2", "slope.cost_s.runs is -2; a whole number, 1 or more was expected"),
         ("load = 1.5", "load = -1", "slope.cost_s.load is -1; 0 or more was expected"),
-        ("by = \"lab scale test\"\n", "", "slope.cost_s.by is missing; a text was expected"),
+        ("by = \"testbed scale test\"\n", "", "slope.cost_s.by is missing; a text was expected"),
         (
             "other_s = \"nobody yet\"",
             "other_s = 1",
@@ -487,27 +488,27 @@
         let said = text(&output.stderr);
         assert_eq!(output.status.code(), Some(2), "{to}: {said}");
         assert!(
-            said.starts_with("lab: ") && said.contains("small.toml: ") && said.contains(why),
+            said.starts_with("testbed: ") && said.contains("small.toml: ") && said.contains(why),
             "{why}: {said}"
         );
         assert_eq!(said.lines().count(), 1, "{said}");
         assert_eq!(text(&output.stdout), "", "{to}");
     }
-    let output = lab(&["no-such.toml"]);
+    let output = testbed(&["no-such.toml"]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(text(&output.stderr).starts_with("lab: no-such.toml: "));
+    assert!(text(&output.stderr).starts_with("testbed: no-such.toml: "));
 }
 
 #[test]
 fn the_bounds_and_files_that_the_page_names_are_in_the_code() {
-    let model = input::read(&root().join("lab/capacity.toml")).expect("the file");
+    let model = input::read(&root().join("testbed/capacity.toml")).expect("the file");
     for (name, given) in &model.bounds {
         let (file, text) = given.source.as_ref().expect("a bound names its file");
         let code =
             std::fs::read_to_string(root().join(file)).unwrap_or_else(|e| panic!("{name}: {file}: {e}"));
         assert!(
             code.contains(text.as_str()),
-            "bound.{name}: {file} no longer has {text:?}; renew lab/capacity.toml"
+            "bound.{name}: {file} no longer has {text:?}; renew testbed/capacity.toml"
         );
     }
     for figure in &model.figures {
--- a/lab/tests/plays.rs
+++ b/testbed/tests/plays.rs
@@ -1,4 +1,4 @@
-//! Plays of the lab's own program: the quickstart with the real agent, and small plays with agents that are wrong in
+//! Plays of the testbed's own program: the quickstart with the real agent, and small plays with agents that are wrong in
 //! one way each, which the oracle has to find.
 #![allow(missing_docs)]
 
@@ -42,8 +42,8 @@
     tempfile::Builder::new().prefix("wrong-").tempdir_in(examples).expect("a folder")
 }
 
-fn lab(args: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_lab"));
+fn testbed(args: &[&str]) -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_testbed"));
     command.args(args).env_remove("CARGO").stdin(Stdio::null());
     command
 }
@@ -77,7 +77,8 @@
     std::fs::write(&file, scenario).expect("a file");
     let arg = |path: &Path| path.to_str().expect("a path").to_owned();
     let (file, out, agent) = (arg(&file), arg(&folder.path().join("out")), arg(agent));
-    let output = lab(&["run", &file, "--agent", &agent, "--out", &out, "--quiet"]).output().expect("it runs");
+    let output =
+        testbed(&["run", &file, "--agent", &agent, "--out", &out, "--quiet"]).output().expect("it runs");
     let result = std::fs::read(Path::new(&out).join("result.json")).ok();
     let result = result.and_then(|r| serde_json::from_slice(&r).ok()).unwrap_or(Value::Null);
     Played { output, result, _folder: folder }
@@ -149,11 +150,11 @@
     let _alone = alone();
     let folder = tempfile::tempdir().expect("a folder");
     let out = folder.path().to_str().expect("a path");
-    let real = built("bellcroft");
+    let real = built("balancer-agent");
     let args = ["run", "quickstart", "--agent", real.to_str().expect("a path"), "--out", out];
-    // What a busy machine bends is not judged here: how soon answers come, and how late the lab is.
+    // What a busy machine bends is not judged here: how soon answers come, and how late the testbed is.
     let lenient = ["--set", "late_p99_most_ms=100000", "--set", "expect.least.in_time=0.2"];
-    let output = lab(&[&args[..], &lenient[..]].concat()).output().expect("it runs");
+    let output = testbed(&[&args[..], &lenient[..]].concat()).output().expect("it runs");
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
     assert!(text(&output.stdout).contains("rules broken                 none"), "{}", text(&output.stdout));
     let result: Value =
@@ -182,12 +183,12 @@
 #[test]
 fn a_play_that_is_broken_off_or_killed_leaves_no_process_and_the_first_its_report() {
     let _alone = alone();
-    let real = built("bellcroft");
+    let real = built("balancer-agent");
     for signal in ["-INT", "-KILL"] {
         let folder = tempfile::tempdir().expect("a folder");
         let out = folder.path().to_str().expect("a path");
         let args = ["run", "quickstart", "--agent", real.to_str().expect("a path"), "--out", out, "--quiet"];
-        let mut child = lab(&args).stderr(Stdio::null()).spawn().expect("it runs");
+        let mut child = testbed(&args).stderr(Stdio::null()).spawn().expect("it runs");
         let deadline = Instant::now() + Duration::from_secs(60);
         while !running(&real, out) {
             assert!(Instant::now() < deadline, "no agent came up");
@@ -212,13 +213,13 @@
 #[test]
 fn a_panic_in_the_lab_breaks_the_play_off_with_its_report_and_leaves_no_process() {
     let _alone = alone();
-    let real = built("bellcroft");
+    let real = built("balancer-agent");
     let folder = tempfile::tempdir().expect("a folder");
     let out = folder.path().to_str().expect("a path");
     let args = ["run", "quickstart", "--agent", real.to_str().expect("a path"), "--out", out, "--quiet"];
-    let output = lab(&args).env("LAB_PANIC_AFTER_MS", "4000").output().expect("it runs");
+    let output = testbed(&args).env("LAB_PANIC_AFTER_MS", "4000").output().expect("it runs");
     assert_eq!(output.status.code(), Some(130), "{}", text(&output.stderr));
-    assert!(text(&output.stderr).contains("a panic in the lab"), "{}", text(&output.stderr));
+    assert!(text(&output.stderr).contains("a panic in the testbed"), "{}", text(&output.stderr));
     assert!(folder.path().join("report.html").is_file() && !running(&real, out));
 }
 
@@ -235,14 +236,14 @@
     let played = play(&agent, &short.replace("late_p99_most_ms = 100000", "late_p99_most_ms = 0"));
     let said = text(&played.output.stderr);
     assert_eq!(played.output.status.code(), Some(3), "{said}");
-    assert!(said.contains("no verdict: the lab itself ran late"), "{said}");
+    assert!(said.contains("no verdict: the testbed itself ran late"), "{said}");
 }
 
 #[test]
 fn a_reader_that_has_left_is_no_reason_to_panic() {
     let full = || std::fs::File::create("/dev/full").expect("a device that takes nothing");
     for args in [&["list"][..], &["check", "quickstart"], &["check", "quickstart", "--plan"]] {
-        let status = lab(args).stdout(full()).status().expect("it runs");
+        let status = testbed(args).stdout(full()).status().expect("it runs");
         assert_eq!(status.code(), Some(0), "{args:?}");
     }
 }
@@ -256,7 +257,7 @@
         (&["check", "quickstart", "--set", "agents.count=0"], "agents.count = 0: 1 to 300"),
     ];
     for (args, expected) in cases {
-        let output = lab(args).output().expect("it runs");
+        let output = testbed(args).output().expect("it runs");
         let said = text(&output.stderr);
         assert_eq!(output.status.code(), Some(2), "{args:?}: {said}");
         assert!(said.contains(expected) && said.lines().count() == 1, "{args:?}: {said}");
@@ -267,9 +268,9 @@
 fn a_world_that_is_held_open_answers_the_request_that_it_prints() {
     use std::io::{BufRead, BufReader, Read, Write};
     let _alone = alone();
-    let real = built("bellcroft");
+    let real = built("balancer-agent");
     let args = ["up", "quickstart", "--agent", real.to_str().expect("a path"), "--seconds", "60"];
-    let mut child = lab(&args).stdout(Stdio::piped()).spawn().expect("it runs");
+    let mut child = testbed(&args).stdout(Stdio::piped()).spawn().expect("it runs");
     let mut lines = BufReader::new(child.stdout.take().expect("its output")).lines();
     let line = lines.by_ref().map_while(Result::ok).find(|line| line.starts_with("try: curl"));
     let line = line.expect("a request to try");
--- a/lab/tests/recovery.rs
+++ b/testbed/tests/recovery.rs
@@ -1,8 +1,8 @@
 //! How long service took to come back is told from when requests were due, and not from when they were answered.
 
-use micasail_lab::plan::{plan as draw, Plan};
-use micasail_lab::recovery::{of, Due};
-use micasail_lab::scenario::read;
+use testbed::plan::{plan as draw, Plan};
+use testbed::recovery::{of, Due};
+use testbed::scenario::read;
 
 fn plan() -> Plan {
     let text = "about = \"x\"\nseconds = 20\nload = 0.5\nrate = 100\n\n[renderers]\ncount = 8\n\n[agents]\ncount = 2\n\n[[fault]]\nkind = \"zone_silent\"\nzone = \"raadi\"\nat_s = 8\nlasts_s = 6\n";
--- a/lab/tests/scale_depth.rs
+++ b/testbed/tests/scale_depth.rs
@@ -1,4 +1,4 @@
-//! `lab scale depth` as a process: a small file is measured whole, and bad ones are told in a line.
+//! `testbed scale depth` as a process: a small file is measured whole, and bad ones are told in a line.
 #![allow(missing_docs, dead_code)]
 
 mod scaling;
@@ -8,15 +8,15 @@
 use std::process::{Command, Output, Stdio};
 
 const SMALL: &str =
-    "depths = [1, 2, 3, 4]\nrepeats = 1\nstates = [\"well\", \"lab\", \"fail\", \"fail_half\", \
+    "depths = [1, 2, 3, 4]\nrepeats = 1\nstates = [\"well\", \"testbed\", \"fail\", \"fail_half\", \
                      \"fail_keyed\", \"refuse\", \"slow\", \"left\", \"left_lab\"]\nrenderers = 2\nrate = 200\ncalls = 10\n\
                      warm_calls = 5\ndeadline_ms = 1000\nwork_ms = 2\nslow_ms = 2000\nleaving_work_ms = 100\n\
                      leaves_after_ms = 50\nslack_ms = 100\n";
 
-fn lab(file: &Path, slopes: &Path, agent: &Path) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_lab"));
+fn testbed(file: &Path, slopes: &Path, agent: &Path) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_testbed"));
     command.args(["scale", "depth"]).arg(file).arg("--slopes").arg(slopes).arg("--agent").arg(agent);
-    command.env_remove("CARGO").stdin(Stdio::null()).output().expect("the lab runs")
+    command.env_remove("CARGO").stdin(Stdio::null()).output().expect("the testbed runs")
 }
 
 #[test]
@@ -24,7 +24,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (file, slopes) = (folder.path().join("small.toml"), folder.path().join("slopes.toml"));
     std::fs::write(&file, SMALL).expect("a file");
-    let out = lab(&file, &slopes, &agent());
+    let out = testbed(&file, &slopes, &agent());
     let (text, errors) = (String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
     assert!(out.status.success(), "{errors}");
     assert_eq!(text.matches("\n         4  median ").count(), 24, "{text}");
@@ -48,7 +48,7 @@
         let figure = figures.get(name).unwrap_or_else(|| panic!("{name} of {figures:?}"));
         assert_eq!((figure["from"].as_float(), figure["to"].as_float()), (Some(1.0), Some(4.0)), "{name}");
         assert_eq!(figure["runs"].as_integer(), Some(4), "{name}");
-        assert_eq!(figure["by"].as_str(), Some("lab scale depth"), "{name}");
+        assert_eq!(figure["by"].as_str(), Some("testbed scale depth"), "{name}");
     }
     assert_eq!(figures.len(), expected.len(), "{figures:?}");
 }
@@ -69,9 +69,9 @@
         ("slow_ms = 2000", "slow_ms = 200", "bad.toml: slow_ms is 200, 1000 to 60000 was expected"),
         ("rate = 200", "rates = 200", "bad.toml, line 5 (rates = 200): unknown field `rates`"),
         ("\ncalls = 10", "\ncalls = -1", "bad.toml, line 6 (calls = -1): "),
-        ("\"refuse\"", "\"tired\"", "bad.toml: states holds \"tired\", some of well, lab, fail"),
+        ("\"refuse\"", "\"tired\"", "bad.toml: states holds \"tired\", some of well, testbed, fail"),
         (
-            "[\"well\", \"lab\", \"fail\", \"fail_half\", \"fail_keyed\", \"refuse\", \"slow\", \"left\", \"left_lab\"]",
+            "[\"well\", \"testbed\", \"fail\", \"fail_half\", \"fail_keyed\", \"refuse\", \"slow\", \"left\", \"left_lab\"]",
             "[]",
             "bad.toml: states is empty",
         ),
@@ -79,7 +79,7 @@
     ] {
         assert!(SMALL.contains(from), "{from}");
         std::fs::write(&file, SMALL.replacen(from, to, 1)).expect("a file");
-        let out = lab(&file, &slopes, &agent);
+        let out = testbed(&file, &slopes, &agent);
         let errors = String::from_utf8_lossy(&out.stderr);
         assert_eq!(out.status.code(), Some(2), "{to}: {errors}");
         assert!(errors.lines().count() == 1 && errors.contains(told), "{to}: {errors}");
--- a/lab/tests/scale_list.rs
+++ b/testbed/tests/scale_list.rs
@@ -1,4 +1,4 @@
-//! `lab scale list` as a process, with the real agent and few servers.
+//! `testbed scale list` as a process, with the real agent and few servers.
 #![allow(missing_docs, dead_code)]
 
 mod scaling;
@@ -7,14 +7,14 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
 
-/// However busy the machine, there is a figure: how late the lab is is not judged here.
+/// However busy the machine, there is a figure: how late the testbed is is not judged here.
 const SMALL: &str = "sizes = [4, 8, 16, 32]\nrepeats = 1\nrate = 79.0\nchanges = 24.0\ndense = 100.0\nbalancers = 300\n\
                      zones = 5\nzone = 8\nidle_s = 0.2\nquiet_s = 0.3\nchanges_s = 0.2\nstill_s = 0.2\nzone_s = 0.3\n\
                      whole_s = 0.3\nwait_s = 60.0\nlate_most_ms = 1000000.0\nretry_s = 0.0\n";
 
 fn scale(folder: &Path, text: &str, agent: &Path) -> Output {
     std::fs::write(folder.join("list.toml"), text).expect("a file");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_testbed"));
     command.args(["scale", "list", "list.toml", "--slopes", "slopes.toml", "--agent"]).arg(agent);
     command.current_dir(folder).env_remove("CARGO").stdin(Stdio::null()).output().expect("it runs")
 }
@@ -75,7 +75,7 @@
 fn a_bad_file_or_program_gets_one_line_and_exit_2() {
     let folder = tempfile::tempdir().expect("a folder");
     // It is not started: the file is read first.
-    let lab = PathBuf::from(env!("CARGO_BIN_EXE_lab"));
+    let testbed = PathBuf::from(env!("CARGO_BIN_EXE_testbed"));
     let cases = [
         (SMALL.replace("repeats = 1", "repeat = 1"), "unknown field `repeat`"),
         (SMALL.replace("repeats = 1\n", ""), "missing field `repeats`"),
@@ -89,7 +89,7 @@
         (SMALL.replace("[4, 8, 16, 32]", "[4, 8, 16, 3000000]"), "sizes holds 3000000,"),
     ];
     for (file, what) in &cases {
-        let output = scale(folder.path(), file, &lab);
+        let output = scale(folder.path(), file, &testbed);
         let said = text(&output.stderr);
         assert_eq!(output.status.code(), Some(2), "{said}");
         assert_eq!(said.lines().count(), 1, "{said}");
@@ -97,7 +97,7 @@
         assert!(output.stdout.is_empty());
     }
     // A program that is no agent ends at once.
-    let output = scale(folder.path(), SMALL, &lab);
+    let output = scale(folder.path(), SMALL, &testbed);
     let said = text(&output.stderr);
     assert_eq!(output.status.code(), Some(2), "{said}");
     assert!(said.lines().count() == 1 && said.contains("did not start"), "{said}");
--- a/lab/tests/scale_renderer.rs
+++ b/testbed/tests/scale_renderer.rs
@@ -1,4 +1,4 @@
-//! `lab scale renderer` as a process: a small file is measured whole, and bad ones are told in a line.
+//! `testbed scale renderer` as a process: a small file is measured whole, and bad ones are told in a line.
 #![allow(missing_docs, dead_code)]
 
 mod scaling;
@@ -10,10 +10,10 @@
 const SMALL: &str = "agents = [1, 2, 3, 4]\nrepeats = 1\nrenderers = 2\nrate = 10\nload = 0.3\nidle_s = 5\n\
                      settle_s = 0.3\nsteady_s = 0.6\naway_s = 0.2\ncold_s = 1\n";
 
-fn lab(file: &Path, slopes: &Path, agent: &Path) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_lab"));
+fn testbed(file: &Path, slopes: &Path, agent: &Path) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_testbed"));
     command.args(["scale", "renderer"]).arg(file).arg("--slopes").arg(slopes).arg("--agent").arg(agent);
-    command.env_remove("CARGO").stdin(Stdio::null()).output().expect("the lab runs")
+    command.env_remove("CARGO").stdin(Stdio::null()).output().expect("the testbed runs")
 }
 
 #[test]
@@ -21,7 +21,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (file, slopes) = (folder.path().join("small.toml"), folder.path().join("slopes.toml"));
     std::fs::write(&file, SMALL).expect("a file");
-    let out = lab(&file, &slopes, &agent());
+    let out = testbed(&file, &slopes, &agent());
     let (text, errors) = (String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
     assert!(out.status.success(), "{errors}");
     assert_eq!(text.matches("\n         4  median ").count(), 7, "{text}");
@@ -66,7 +66,7 @@
     ] {
         assert!(SMALL.contains(from), "{from}");
         std::fs::write(&file, SMALL.replacen(from, to, 1)).expect("a file");
-        let out = lab(&file, &slopes, &agent);
+        let out = testbed(&file, &slopes, &agent);
         let errors = String::from_utf8_lossy(&out.stderr);
         assert_eq!(out.status.code(), Some(2), "{to}: {errors}");
         assert!(errors.lines().count() == 1 && errors.contains(told), "{to}: {errors}");
--- a/lab/tests/scale_staff.rs
+++ b/testbed/tests/scale_staff.rs
@@ -1,4 +1,4 @@
-//! `lab scale staff` as a process: a small file gives every figure, and a wrong one a line.
+//! `testbed scale staff` as a process: a small file gives every figure, and a wrong one a line.
 #![allow(missing_docs)]
 
 mod scaling;
--- a/lab/tests/scale_watchers.rs
+++ b/testbed/tests/scale_watchers.rs
@@ -1,4 +1,4 @@
-//! `lab scale watchers` as a process: a small file gives every figure, and a wrong one a line.
+//! `testbed scale watchers` as a process: a small file gives every figure, and a wrong one a line.
 #![allow(missing_docs)]
 
 mod scaling;
@@ -59,10 +59,14 @@
     let folder = tempfile::tempdir().expect("a folder");
     let within = folder.path().to_str().expect("a path");
     for signal in ["-TERM", "-KILL"] {
-        let mut lab = Command::new(env!("CARGO_BIN_EXE_lab"));
-        lab.args(["scale", "watchers"]).arg(file.path()).env("TMPDIR", within).env_remove("CARGO");
-        let mut child =
-            lab.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it runs");
+        let mut testbed = Command::new(env!("CARGO_BIN_EXE_testbed"));
+        testbed.args(["scale", "watchers"]).arg(file.path()).env("TMPDIR", within).env_remove("CARGO");
+        let mut child = testbed
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::null())
+            .spawn()
+            .expect("it runs");
         let deadline = Instant::now() + Duration::from_secs(60);
         while hollow(within) == 0 {
             assert!(Instant::now() < deadline, "no agent came up");
--- a/lab/tests/scaling/mod.rs
+++ b/testbed/tests/scaling/mod.rs
@@ -1,10 +1,10 @@
-//! What the tests of `lab scale` share: the lab as a process, on a file of the test's own.
+//! What the tests of `testbed scale` share: the testbed as a process, on a file of the test's own.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
 use std::sync::OnceLock;
 
-/// The programs beside the lab, as they are now: a test of the lab alone would find those of an earlier day.
+/// The programs beside the testbed, as they are now: a test of the testbed alone would find those of an earlier day.
 pub fn build() {
     static BUILT: OnceLock<()> = OnceLock::new();
     BUILT.get_or_init(|| {
@@ -15,15 +15,15 @@
     });
 }
 
-/// The agent beside the lab, as it is now.
+/// The agent beside the testbed, as it is now.
 #[allow(dead_code)]
 pub fn agent() -> PathBuf {
     build();
     let own = std::env::current_exe().expect("a program");
-    own.parent().and_then(Path::parent).expect("a folder").join("bellcroft")
+    own.parent().and_then(Path::parent).expect("a folder").join("balancer-agent")
 }
 
-/// A file for the lab, gone with its folder.
+/// A file for the testbed, gone with its folder.
 pub struct File {
     folder: tempfile::TempDir,
 }
@@ -46,9 +46,9 @@
     /// Runs the test of this name by this file.
     pub fn scale(&self, test: &str) -> Output {
         build();
-        let mut lab = Command::new(env!("CARGO_BIN_EXE_lab"));
-        lab.args(["scale", test]).arg(self.path()).arg("--slopes").arg(self.slopes());
-        lab.env_remove("CARGO").stdin(Stdio::null()).output().expect("it runs")
+        let mut testbed = Command::new(env!("CARGO_BIN_EXE_testbed"));
+        testbed.args(["scale", test]).arg(self.path()).arg("--slopes").arg(self.slopes());
+        testbed.env_remove("CARGO").stdin(Stdio::null()).output().expect("it runs")
     }
 
     /// Its slopes, each of which it has printed as well.
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,7 +1,7 @@
 //! Guards against decisions that absurd reports or a jumping clock would turn.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
 fn settings() -> Settings {
     Settings {
--- a/tests/blind.rs
+++ b/tests/blind.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use balancer::*;
 use common::{class, fleet, refused, Rig};
-use micasail::*;
 
 const AIM_MS: f64 = 200.0;
 
--- a/tests/cold_server_not_pushed_over.rs
+++ b/tests/cold_server_not_pushed_over.rs
@@ -1,7 +1,7 @@
 //! Guards rule four: a server that has just started is sent its share only.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
 fn settings() -> Settings {
     Settings {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the tests share: an observer that holds a balancer to the four rules, and a small rig around one.
 #![allow(dead_code, missing_docs)]
 
-use micasail::*;
+use balancer::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Time past the client's deadline in which a final answer still counts.
--- a/tests/cordon.rs
+++ b/tests/cordon.rs
@@ -1,7 +1,7 @@
 //! Guards the operators' word on a server: nothing goes there until they call it back, and then it is cold.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
 const SERVER: ServerId = ServerId(2);
 
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -3,8 +3,8 @@
 //! Each cost is the least of many repetitions, so that what else the machine does hardly shows, and 32 times as many
 //! servers may cost 8 times as much: their records lie in slower memory. A walk over all of them costs 20 times or more.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 use std::time::{Duration, Instant};
 
 const FEW: u32 = 1000;
--- a/tests/crowd_at_discovery.rs
+++ b/tests/crowd_at_discovery.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use balancer::*;
 use common::{class, Rig};
-use micasail::*;
 
 const BALANCERS: u32 = 100;
 
--- a/tests/drains_kept.rs
+++ b/tests/drains_kept.rs
@@ -1,7 +1,7 @@
 //! Guards rule three: nothing new goes to a server that drains or is gone.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
 fn drained(update: impl Fn(Vec<Listed>) -> ListUpdate) {
     let settings = Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() };
--- a/tests/gone_servers_are_forgotten.rs
+++ b/tests/gone_servers_are_forgotten.rs
@@ -1,7 +1,7 @@
 //! What is kept goes by the servers that are listed, and not by all that ever were: a fleet is replaced every day.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
 /// Resident memory of this process in KiB; `None` where the system does not tell.
 fn resident() -> Option<u64> {
--- a/tests/list_in_parts.rs
+++ b/tests/list_in_parts.rs
@@ -2,8 +2,8 @@
 #![allow(missing_docs)]
 
 mod common;
+use balancer::*;
 use common::{class, fleet, Rig};
-use micasail::*;
 
 fn rig() -> Rig {
     let settings = Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() };
--- a/tests/long_bodies.rs
+++ b/tests/long_bodies.rs
@@ -1,8 +1,8 @@
 //! Guards requests whose bodies are passed on as they come: their time counts from their last byte, and what has gone
 //! out is not there to be sent again.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
 fn rig(effect: Effect) -> Rig {
     let settings = Settings { classes: vec![class(effect)], ..Settings::default() };
--- a/tests/memory_does_not_grow.rs
+++ b/tests/memory_does_not_grow.rs
@@ -1,7 +1,7 @@
 //! Guards against records that outlive their requests: memory must not grow with requests served.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
 /// Resident memory of this process in KiB; `None` where the system does not tell.
 fn resident() -> Option<u64> {
--- a/tests/near.rs
+++ b/tests/near.rs
@@ -1,8 +1,8 @@
 //! Where a crossing has a price: near servers are found while they are idle, and nobody queues for them.
 
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 use std::collections::VecDeque;
 
 /// Four zones of five servers each, the balancer in the first; a few balancers share them.
--- a/tests/no_doubled_effect.rs
+++ b/tests/no_doubled_effect.rs
@@ -1,7 +1,7 @@
 //! Guards rule two: an effect must not happen twice, and a refusal must not be told of what may have run.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
 const OUTCOMES: [Outcome; 7] = [
     Outcome::ServerError,
--- a/tests/observer_sees_breaches.rs
+++ b/tests/observer_sees_breaches.rs
@@ -1,7 +1,7 @@
 //! Guards the other tests: the observer must object to a broken decision of each kind.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
 fn watch(effect: Effect) -> (Observer, Time) {
     let settings = Settings {
--- a/tests/one_final_answer.rs
+++ b/tests/one_final_answer.rs
@@ -1,7 +1,7 @@
 //! Guards rule one: every accepted request ends once, in time, and nothing is sent for it afterwards.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
 fn plain() -> Settings {
     Settings { classes: vec![class(Effect::Idempotent), class(Effect::AtMostOnce)], ..Settings::default() }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,7 +1,7 @@
 //! Guards against collapse under overload: late answers, standing queues, retry storms, unfair refusals.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 fn settings() -> Settings {
--- a/tests/random_walk.rs
+++ b/tests/random_walk.rs
@@ -1,7 +1,7 @@
 //! Guards the four rules on event orders that nobody thought of, and that equal events give equal actions.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 use std::collections::BTreeMap;
 
 fn settings(pick: u64) -> Settings {
--- a/tests/senseless_answers.rs
+++ b/tests/senseless_answers.rs
@@ -1,7 +1,7 @@
 //! Pauses before the list is asked for again: an answer of no use is not asked for three times a second for ever.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
 fn rig(discovery: Discovery) -> Rig {
     let classes = vec![class(Effect::Idempotent)];
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Guards against settings that lack what a decision could use, and against ones that no decision can use.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
 #[test]
 fn impossible_settings_are_errors_and_not_panics() {
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -1,7 +1,7 @@
 //! Guards against servers that hang, fail fast or slow down, and against taking a crowd for sick servers.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
 fn settings(effect: Effect) -> Settings {
     Settings { classes: vec![class(effect)], ..Settings::default() }
--- a/tests/takes_over.rs
+++ b/tests/takes_over.rs
@@ -1,7 +1,7 @@
 //! Guards what one balancer learns from another: it goes on where that one was, and takes no nonsense.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 use std::collections::BTreeSet;
 
 fn rig(seed: u64) -> Rig {
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -1,7 +1,7 @@
 //! Zones by a balancer's own evidence: a failing one is left and comes back by steps, and nothing else makes it leave.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a server does with a request.
