--- a/agent/src/staff/words.rs
+++ b/agent/src/admin/commands.rs
@@ -1,8 +1,8 @@
 //! What the staff's calls mean, and what outlives a process of what they said.
 
+use crate::admin_api::{Counters, Renderers, Zone, Zones, RENDERERS_MOST, ZONES_MOST};
 use crate::driver::Driver;
-use crate::figures::{self, Attempts};
-use crate::forms::{Counters, Renderers, Zone, Zones, RENDERERS_MOST, ZONES_MOST};
+use crate::metrics::{self, Attempts};
 use crate::peers::handover::{self, Cordons, Owner, Word};
 use balancer::Time;
 use balancer_settings::Names;
@@ -16,7 +16,7 @@
 const ZONE: &str = "zone ";
 
 /// What the staff ask and say.
-pub struct Staff {
+pub struct Admin {
     driver: Rc<Driver>,
     cordons: RefCell<Cordons>,
     /// Where the processes of this agent leave each other what they know.
@@ -25,15 +25,15 @@
     owner: Owner,
 }
 
-impl Staff {
+impl Admin {
     /// Takes in what has been said to another process of this agent.
     pub fn new(driver: Rc<Driver>, folder: Option<PathBuf>, agent: String, listen: String) -> Rc<Self> {
         let Names { zones, classes, .. } = driver.names.clone();
         let owner = Owner { agent, listen, zones, classes };
         let cordons = RefCell::new(Cordons::new(folder.clone(), owner.clone()));
-        let staff = Staff { driver, cordons, folder, owner };
-        staff.look();
-        Rc::new(staff)
+        let admin = Admin { driver, cordons, folder, owner };
+        admin.look();
+        Rc::new(admin)
     }
 
     /// Whether this process takes clients.
@@ -44,7 +44,7 @@
     /// The figures as the operators read them.
     pub fn counters(&self) -> Counters {
         let fleet = self.driver.fleet();
-        figures::report(&self.driver.counts(), &self.driver.names.classes, fleet.listed, fleet.avoided)
+        metrics::report(&self.driver.counts(), &self.driver.names.classes, fleet.listed, fleet.avoided)
     }
 
     /// Each renderer on the list.
@@ -128,10 +128,10 @@
 
     fn pass_on(&self, name: &str, word: Word) {
         if let Some(zone) = name.strip_prefix(ZONE) {
-            tracing::info!(target: "staff", zone, "the zone is {}", if word.out { "left" } else { "returned to" });
+            tracing::info!(target: "admin", zone, "the zone is {}", if word.out { "left" } else { "returned to" });
             return self.driver.zone(zone, word.out, Time(word.at));
         }
-        tracing::info!(target: "staff", "{name:.80} is {}", if word.out { "cordoned" } else { "back" });
+        tracing::info!(target: "admin", "{name:.80} is {}", if word.out { "cordoned" } else { "back" });
         self.driver.cordon(name, word.out, Time(word.at));
     }
 
--- a/agent/src/staff/operator.rs
+++ b/agent/src/admin/listener.rs
@@ -1,7 +1,7 @@
-//! The second address, for the operators' staff: one line a connection, one answer. It reads the call and words
-//! the answer; what a call means is [`Staff`]'s to say.
+//! The second address, for the operators' admin: one line a connection, one answer. It reads the call and words
+//! the answer; what a call means is [`Admin`]'s to say.
 
-use super::words::Staff;
+use super::commands::Admin;
 use serde::Serialize;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -30,20 +30,20 @@
 
 /// Listens there for as long as the agent runs. An address that is not to be had costs no client its service: it is
 /// asked for again until it is.
-pub async fn listen(staff: Rc<Staff>, address: SocketAddr) {
+pub async fn listen(admin: Rc<Admin>, address: SocketAddr) {
     let mut told = false;
     let listener = loop {
         match TcpListener::bind(address).await {
             Ok(listener) => break listener,
             Err(why) if !told => {
                 told = true;
-                tracing::warn!(target: "staff", "cannot listen on {address} yet: {why}");
+                tracing::warn!(target: "admin", "cannot listen on {address} yet: {why}");
             }
             Err(_) => {}
         }
         sleep(PAUSE).await;
     };
-    tracing::info!(target: "staff", "answers on {}", listener.local_addr().unwrap_or(address));
+    tracing::info!(target: "admin", "answers on {}", listener.local_addr().unwrap_or(address));
     let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -54,13 +54,13 @@
         if callers.len() >= CALLERS_MOST {
             callers.pop_front().inspect(|oldest| oldest.abort());
         }
-        callers.push_back(tokio::task::spawn_local(caller(staff.clone(), stream)));
+        callers.push_back(tokio::task::spawn_local(caller(admin.clone(), stream)));
     }
 }
 
-async fn caller(staff: Rc<Staff>, mut stream: TcpStream) {
+async fn caller(admin: Rc<Admin>, mut stream: TcpStream) {
     let answer = match timeout(LINE_WAIT, line(&mut stream)).await {
-        Ok(Some(Ok(call))) => answer(&staff, &call),
+        Ok(Some(Ok(call))) => answer(&admin, &call),
         Ok(Some(Err(why))) => format!("error {why}\n"),
         Ok(None) => return,
         Err(_) => "error no whole line in time\n".to_owned(),
@@ -98,7 +98,7 @@
     }
 }
 
-/// Figures as one line, and the line that says that there is no more.
+/// Metrics as one line, and the line that says that there is no more.
 fn figures(form: &impl Serialize) -> String {
     // These forms have text for keys and nothing that could fail to be written.
     let line = serde_json::to_string(form).unwrap_or_default();
@@ -106,20 +106,20 @@
 }
 
 /// The answer to a call, whole.
-fn answer(staff: &Rc<Staff>, call: &str) -> String {
+fn answer(admin: &Rc<Admin>, call: &str) -> String {
     let words: Vec<&str> = call.split_whitespace().collect();
     let answer = match words[..] {
-        ["health"] if staff.serves() => Ok("done".to_owned()),
+        ["health"] if admin.serves() => Ok("done".to_owned()),
         ["health"] => Err("no clients are taken yet".to_owned()),
-        ["counters"] => return figures(&staff.counters()),
-        ["renderers"] => return figures(&staff.renderers()),
-        ["zones"] => return figures(&staff.zones()),
-        [call @ ("cordon" | "uncordon"), id] => match staff.cordon(id, call == "cordon") {
+        ["counters"] => return figures(&admin.counters()),
+        ["renderers"] => return figures(&admin.renderers()),
+        ["zones"] => return figures(&admin.zones()),
+        [call @ ("cordon" | "uncordon"), id] => match admin.cordon(id, call == "cordon") {
             Ok(true) => Ok("done".to_owned()),
             Ok(false) => Err(format!("no renderer {id:.80}")),
             Err(why) => Err(format!("it holds in this process alone, an upgrade would forget it: {why}")),
         },
-        ["zone", word @ ("leave" | "return"), name] => match staff.zone(name, word == "leave") {
+        ["zone", word @ ("leave" | "return"), name] => match admin.zone(name, word == "leave") {
             Ok(true) => Ok("done".to_owned()),
             Ok(false) => Err(format!("no zone {name:.80}")),
             Err(why) => Err(format!("it holds in this process alone, an upgrade would forget it: {why}")),
--- a/agent/src/staff/mod.rs
+++ b/agent/src/admin/mod.rs
@@ -1,4 +1,4 @@
 //! The staff's side: the second address, and what its calls mean.
 
-pub mod operator;
-pub mod words;
+pub mod commands;
+pub mod listener;
--- a/agent/src/forms.rs
+++ b/agent/src/admin_api.rs
@@ -45,7 +45,7 @@
     pub zone: String,
     /// The list says that it takes work; else it drains.
     pub serving: bool,
-    /// Staff have taken it out of use at this agent.
+    /// Admin have taken it out of use at this agent.
     pub cordoned: bool,
     /// It is suspect by its own answers: it gets trials alone, or a small part of its share.
     pub doubted: bool,
@@ -108,7 +108,7 @@
 pub struct Zone {
     /// Its name on the list.
     pub zone: String,
-    /// Staff have left it at this agent: nothing new goes there.
+    /// Admin have left it at this agent: nothing new goes there.
     #[serde(default)]
     pub left: bool,
     /// How the agent uses it by its own evidence.
--- a/agent/src/cli.rs
+++ b/agent/src/cli.rs
@@ -27,7 +27,7 @@
                     win over the same entries of the configuration
   PROXY_LOG         text (the default) or json
   PROXY_LOG_FILTER  what is logged: a level, or TARGET=LEVEL with commas between; info by default. Targets are
-                    process, request, counts, decisions, discovery, handover and staff
+                    process, request, counts, decisions, discovery, handover and admin
   PROXY_LISTEN_FD   the descriptor of a listener to take over
 
 Exit: 0 all was answered or all is well; 2 the one line on standard error says what is wrong.";
--- a/agent/src/config/mod.rs
+++ b/agent/src/config/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod fleet;
 
-use crate::list::{self, List};
+use crate::endpoint_list::{self, List};
 use balancer::Settings;
 use balancer_settings::{Names, Params};
 use serde::de::DeserializeOwned;
@@ -132,7 +132,7 @@
         let servers_most = ((memory_mb << 20) / SERVERS_SHARE / SERVER_BYTES) as usize;
         let known = match file.known {
             None => List::default(),
-            Some(text) => list::read_list(text.get().as_bytes(), servers_most)
+            Some(text) => endpoint_list::read_list(text.get().as_bytes(), servers_most)
                 .map_err(|why| format!("known is no server list: {why}"))?,
         };
         Ok(Config {
--- a/agent/src/application/server.rs
+++ b/agent/src/downstream/server.rs
@@ -2,10 +2,10 @@
 
 use crate::driver::requests::{Answer, Arrival, Content};
 use crate::driver::Driver;
-use crate::renderers::upstream::{forwarded, Served};
 use crate::traffic::body::{Hold, Intake, Reply, Unread, BUFFER, KEPT_MOST, REQUEST_MOST};
 use crate::traffic::pace::{Asked, Pace, Patience, Timed};
 use crate::traffic::socket::Socket;
+use crate::upstream::client::{forwarded, Served};
 use balancer::{ClassId, Effect, KeyId, RequestId, Span, TenantId};
 use balancer_settings::fnv1a;
 use bytes::BytesMut;
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -7,13 +7,13 @@
 pub mod requests;
 pub mod servers;
 
+use crate::admin_api::{PhaseOf, Renderer, ZonePhase};
 use crate::config::Config;
-use crate::figures::{Attempts, Counts, Figures};
-use crate::forms::{PhaseOf, Renderer, ZonePhase};
 use crate::log::{Log, Tried};
-use crate::renderers::discovery::{Discovery, Listener, News, STEP};
-use crate::renderers::upstream::{Ended, Progress, Upstream};
+use crate::metrics::{Attempts, Counts, Metrics};
 use crate::traffic::body::{Budget, Step};
+use crate::upstream::client::{Ended, Progress, Upstream};
+use crate::upstream::discovery::{Discovery, Listener, News, STEP};
 use balancer::{
     Action, AttemptNo, Balancer, Effect, Event, Fleet, Lessons, ListUpdate, Outcome, RequestId, ServerId,
     SettingsError, Span, Status, Time, View, ZoneId,
@@ -51,7 +51,7 @@
     pub effects: Vec<Effect>,
     /// Clients are being accepted.
     pub accepts: Cell<bool>,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
     /// What may be held of bodies.
     pub budget: Rc<Budget>,
     upstream: Rc<Upstream>,
@@ -64,12 +64,12 @@
     pub fn start(config: Config, connections: usize) -> Result<Rc<Self>, SettingsError> {
         let clock = Clock::start();
         let effects = config.settings.classes.iter().map(|c| c.effect).collect();
-        let figures = Figures::new(config.names.classes.len());
+        let metrics = Metrics::new(config.names.classes.len());
         let budget = Rc::new(Budget::of(config.memory_mb, config.shared));
         let connect_timeout = Duration::from_micros(config.names.connect_timeout.0);
         let upstream = Rc::new(Upstream::new(
             connections,
-            figures.clone(),
+            metrics.clone(),
             budget.clone(),
             connect_timeout,
             Duration::from_micros(config.names.keepalive.0),
@@ -90,7 +90,7 @@
             names: config.names,
             effects,
             accepts: Cell::new(false),
-            figures,
+            metrics,
             budget,
             upstream,
             state: RefCell::new(state),
@@ -125,7 +125,7 @@
 
     /// All counts since the start.
     pub fn counts(&self) -> Counts {
-        self.figures.now()
+        self.metrics.now()
     }
 
     /// How many servers there are, and how many of them are avoided.
@@ -136,7 +136,7 @@
     /// What is made of each renderer on the list, by name, and the attempts at it.
     pub fn renderers(&self) -> Vec<Renderer> {
         let state = self.state.borrow();
-        let by_server = self.figures.by_server();
+        let by_server = self.metrics.by_server();
         let renderer = |view: View| {
             let attempts = by_server.get(&view.server).copied().unwrap_or_default();
             Renderer {
@@ -162,7 +162,7 @@
 
     /// The attempts at renderers that have left the list, by zone.
     pub fn left(&self) -> BTreeMap<String, Attempts> {
-        self.state.borrow().servers.left_by_zone(&self.figures.by_server())
+        self.state.borrow().servers.left_by_zone(&self.metrics.by_server())
     }
 
     /// The number of a server that has had this name.
@@ -263,11 +263,11 @@
                 uploading: arrival.intake().is_some(),
             };
             let taken = match arrival.intake() {
-                None => self.figures.take(arrival.class.0),
+                None => self.metrics.take(arrival.class.0),
                 Some(intake) => {
                     let driver = self.clone();
                     intake.tells(move |step| driver.uploads(id, step));
-                    self.figures.upload(arrival.class.0)
+                    self.metrics.upload(arrival.class.0)
                 }
             };
             let parts = Rc::new(arrival);
@@ -315,7 +315,7 @@
 
     /// A request made no sense and has been answered so.
     pub fn turned_away(&self, request: &str, status: StatusCode, why: &str) {
-        self.figures.bad();
+        self.metrics.bad();
         self.state.borrow_mut().requests.turned_away(request, status, why);
     }
 
@@ -353,7 +353,7 @@
         let mut state = self.state.borrow_mut();
         while let Some((server, zone)) = state.servers.forget() {
             self.upstream.forget(server);
-            if let Some(attempts) = self.figures.forget(server) {
+            if let Some(attempts) = self.metrics.forget(server) {
                 state.servers.left(&zone, &attempts);
             }
         }
@@ -396,7 +396,7 @@
     /// Writes the counts of the last seconds when they are due, with what the balancer makes of its servers.
     fn write_counts(&self) {
         let mut state = self.state.borrow_mut();
-        if let Some(counts) = state.requests.log.counts(Instant::now(), &self.figures) {
+        if let Some(counts) = state.requests.log.counts(Instant::now(), &self.metrics) {
             counts.write(self.upstream.held(), &state.queue.balancer.summary());
         }
     }
@@ -499,7 +499,7 @@
         {
             let mut state = self.state.borrow_mut();
             state.requests.attempts.remove(&key);
-            self.figures.attempt(server, ended.outcome);
+            self.metrics.attempt(server, ended.outcome);
             if let Some(served) = ended.answer {
                 let driver = self.clone();
                 let broke = move || driver.broke(server);
--- a/agent/src/driver/requests.rs
+++ b/agent/src/driver/requests.rs
@@ -1,9 +1,9 @@
 //! Requests that are owed an answer, and their attempts that are out.
 
-use crate::figures::{End, Taken};
 use crate::log::{self, Log, Tried};
-use crate::renderers::upstream::{Progress, Served};
+use crate::metrics::{End, Taken};
 use crate::traffic::body::{Hold, Intake, Outgoing};
+use crate::upstream::client::{Progress, Served};
 use balancer::{ClassId, KeyId, RequestId, Span, TenantId};
 use balancer_settings::Names;
 use bytes::Bytes;
@@ -84,7 +84,7 @@
     pub answer: oneshot::Sender<Answer>,
     /// What came.
     pub parts: Rc<Arrival>,
-    /// Its place in the figures.
+    /// Its place in the metrics.
     pub taken: Taken,
     /// Its last attempt had no answer in time.
     pub timed_out: bool,
--- a/agent/src/driver/servers.rs
+++ b/agent/src/driver/servers.rs
@@ -4,8 +4,8 @@
 //! it says of servers that are known holds at once, those that it adds wait for its end, and those that a whole list
 //! does not name are gone then. An answer that breaks off adds nothing and removes nothing.
 
-use crate::figures::Attempts;
-use crate::list::{Envelope, Health, Host, List, Unread};
+use crate::endpoint_list::{Envelope, Health, Host, List, Unread};
+use crate::metrics::Attempts;
 use balancer::{CellId, KindId, Listed, ServerId, Status, Time, ZoneId};
 use balancer_settings::{fnv1a, Names};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -48,7 +48,7 @@
     left: BTreeMap<String, Attempts>,
     /// Those that were last to leave it, in that order: attempts may still be out there, and logs name them.
     gone: VecDeque<ServerId>,
-    /// Named by staff; their numbers stand for what staff said.
+    /// Named by an operator; their numbers stand for what the operator said.
     kept: HashSet<ServerId>,
     /// How many may be known.
     most: usize,
--- a/agent/src/log.rs
+++ b/agent/src/log.rs
@@ -5,7 +5,7 @@
 //! no request waits. The way not taken is `tracing-appender`: it waits over a second for a reader at the end of the
 //! process and says so on standard output.
 
-use crate::figures::{Counts, Ends, Figures, OUTCOMES};
+use crate::metrics::{Counts, Ends, Metrics, OUTCOMES};
 use balancer::{Outcome, Span};
 use hyper::StatusCode;
 use std::fmt::{self, Write as _};
@@ -215,11 +215,11 @@
     }
 
     /// How the figures have moved since the last line, once it is time for that and there is something to tell.
-    pub fn counts(&mut self, now: Instant, figures: &Figures) -> Option<Moved> {
+    pub fn counts(&mut self, now: Instant, metrics: &Metrics) -> Option<Moved> {
         if now.saturating_duration_since(self.since) < PERIOD {
             return None;
         }
-        let counts = figures.now();
+        let counts = metrics.now();
         let before = std::mem::replace(&mut self.before, counts.clone());
         self.since = now;
         let some =
--- a/agent/src/log/tests.rs
+++ b/agent/src/log/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::figures::End;
+use crate::metrics::End;
 use balancer::ServerId;
 use std::sync::Mutex;
 
@@ -47,18 +47,18 @@
     let start = Instant::now();
     let mut log = Log::new(start);
     let written = (0..50).filter(|_| log.room(start)).count();
-    let figures = Figures::new(1);
-    (0..50).for_each(|_| figures.take(0).end(End::Refused));
+    let metrics = Metrics::new(1);
+    (0..50).for_each(|_| metrics.take(0).end(End::Refused));
     assert_eq!(written, LINES_MOST as usize);
     assert!(log.room(start + Duration::from_secs(1)));
-    figures.take(0).end(End::Failed);
-    figures.take(0).end(End::Served);
-    drop(figures.take(0));
-    figures.attempt(ServerId(1), Outcome::Rejected);
-    figures.sent(ServerId(1));
-    figures.bad();
-    assert!(log.counts(start, &figures).is_none());
-    let moved = log.counts(start + PERIOD, &figures).expect("a line");
+    metrics.take(0).end(End::Failed);
+    metrics.take(0).end(End::Served);
+    drop(metrics.take(0));
+    metrics.attempt(ServerId(1), Outcome::Rejected);
+    metrics.sent(ServerId(1));
+    metrics.bad();
+    assert!(log.counts(start, &metrics).is_none());
+    let moved = log.counts(start + PERIOD, &metrics).expect("a line");
     let line = said(&form("", "").expect("a form"), || moved.write(3, "state"));
     for part in [
             "INFO counts: state arrived=53 served=1 refused_unsent=50 refused_tried=0 failed=1 gone=1 turned_away=1 \
@@ -67,7 +67,7 @@
         ] {
             assert!(line.contains(part), "{line}");
         }
-    assert!(log.counts(start + 2 * PERIOD, &figures).is_none());
+    assert!(log.counts(start + 2 * PERIOD, &metrics).is_none());
 }
 
 /// More than that in a second is left out, and the counts are not.
--- a/agent/src/figures.rs
+++ b/agent/src/metrics.rs
@@ -1,7 +1,7 @@
 //! What the agent has done since its start, counted once, where it happens. The second address shows these figures
 //! and the log writes how they have moved, so that both tell the same story.
 
-use crate::forms::Counters;
+use crate::admin_api::Counters;
 use balancer::{Outcome, ServerId};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -85,13 +85,13 @@
 }
 
 /// The counts, shared by all that count.
-pub struct Figures(RefCell<Counts>, RefCell<HashMap<ServerId, Attempts>>);
+pub struct Metrics(RefCell<Counts>, RefCell<HashMap<ServerId, Attempts>>);
 
-impl Figures {
+impl Metrics {
     /// Has counted nothing yet.
     pub fn new(classes: usize) -> Rc<Self> {
         let counts = Counts { ends: vec![Ends::default(); classes], ..Counts::default() };
-        Rc::new(Figures(RefCell::new(counts), RefCell::default()))
+        Rc::new(Metrics(RefCell::new(counts), RefCell::default()))
     }
 
     /// The counts as they are now.
@@ -108,7 +108,7 @@
 
     /// A request of this class has begun to come. It is the agent's once it is whole, or has its answer before.
     pub fn upload(self: &Rc<Self>, class: usize) -> Taken {
-        Taken { figures: self.clone(), class, whole: false, end: End::Gone, sends: 0 }
+        Taken { metrics: self.clone(), class, whole: false, end: End::Gone, sends: 0 }
     }
 
     /// The attempts at each renderer.
@@ -163,7 +163,7 @@
 /// A request that is taken. It is counted as ended exactly once: there is no way to end it twice, and one that
 /// is dropped without a word has lost its client.
 pub struct Taken {
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
     class: usize,
     whole: bool,
     end: End,
@@ -175,7 +175,7 @@
     /// Its last byte has come.
     pub fn whole(&mut self) {
         if !std::mem::replace(&mut self.whole, true) {
-            self.figures.0.borrow_mut().taken += 1;
+            self.metrics.0.borrow_mut().taken += 1;
         }
     }
 
@@ -192,7 +192,7 @@
             return;
         }
         self.whole();
-        self.figures.ended(self.class, self.end, self.sends);
+        self.metrics.ended(self.class, self.end, self.sends);
     }
 }
 
--- a/agent/src/process.rs
+++ b/agent/src/process.rs
@@ -1,13 +1,13 @@
 //! One process of the agent, from its start to its last answer.
 
-use crate::application::server::{self, Server};
+use crate::admin::commands::Admin;
+use crate::admin::listener as admin_listener;
 use crate::config::fleet::Fleet;
 use crate::config::Config;
+use crate::downstream::server::{self, Server};
 use crate::driver::Driver;
 use crate::log;
 use crate::peers::handover;
-use crate::staff::operator;
-use crate::staff::words::Staff;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
@@ -84,7 +84,7 @@
     let longest = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
     let name = config.name.clone();
     let operator = config.operator;
-    let apart = SPARE_SOCKETS + operator.map_or(0, |_| operator::SOCKETS);
+    let apart = SPARE_SOCKETS + operator.map_or(0, |_| admin_listener::SOCKETS);
     let sockets = config.sockets.saturating_sub(apart);
     let backends = sockets / BACKENDS_SHARE;
     let folder = std::env::var_os("TMPDIR").filter(|_| operator.is_some()).map(PathBuf::from);
@@ -92,7 +92,7 @@
     if let Some(fleet) = &fleet {
         driver.regions(&fleet.regions);
     }
-    let staff = Staff::new(driver.clone(), folder, name.clone(), listen.to_string());
+    let admin = Admin::new(driver.clone(), folder, name.clone(), listen.to_string());
     let mut driven = tokio::task::spawn_local(driver.clone().run());
     let server = Server::new(driver.clone(), sockets - backends);
     let (accepted, ready) = (server.clone(), driver.clone());
@@ -107,17 +107,17 @@
         accepted.accept(listener).await;
     });
     if let Some(operator) = operator {
-        tokio::task::spawn_local(operator::listen(staff.clone(), operator));
-        staff.learn();
+        tokio::task::spawn_local(admin_listener::listen(admin.clone(), operator));
+        admin.learn();
         let driver = driver.clone();
         tokio::task::spawn_local(async move {
             let mut kept = Instant::now();
             loop {
                 sleep(handover::LOOK).await;
-                staff.look();
+                admin.look();
                 // A process that has handed over leaves the file to the new one.
                 if driver.accepts.get() && kept.elapsed() >= handover::LEARN {
-                    staff.keep_learned();
+                    admin.keep_learned();
                     kept = Instant::now();
                 }
             }
--- a/agent/src/traffic/body.rs
+++ b/agent/src/traffic/body.rs
@@ -1,7 +1,7 @@
 //! Bodies on their way through the agent. A small one is kept whole; a longer one is passed on piece by piece, the
 //! next when the last has been taken, and what is held of all of them together stays within one budget.
 
-use crate::figures::{End, Taken};
+use crate::metrics::{End, Taken};
 use crate::traffic::pace::{Asked, Patience};
 use bytes::Bytes;
 use http_body_util::Full;
--- a/agent/src/renderers/upstream.rs
+++ b/agent/src/upstream/client.rs
@@ -3,8 +3,8 @@
 //! A connection carries one exchange at a time and is used again only after a whole answer. Whatever else ends
 //! an exchange (a time-out, a cancel, an error) ends its connection with it.
 
-use crate::figures::Figures;
-use crate::list::{Health, Host};
+use crate::endpoint_list::{Health, Host};
+use crate::metrics::Metrics;
 use crate::traffic::body::{Budget, Intake, Outgoing, Reply, BUFFER, KEPT_MOST};
 use crate::traffic::socket::Socket;
 use balancer::{Outcome, ServerId};
@@ -50,7 +50,7 @@
     written: Cell<u64>,
     shut: Cell<bool>,
     /// The count at which the attempt that is under way is out whole, and where that is told.
-    whole: RefCell<Option<(Goal, ServerId, Rc<Figures>)>>,
+    whole: RefCell<Option<(Goal, ServerId, Rc<Metrics>)>>,
 }
 
 /// The count at which an attempt is out whole; while its length is unknown, no count is.
@@ -66,10 +66,10 @@
     fn wrote(&self, n: usize) -> usize {
         let written = self.wire.written.get() + n as u64;
         self.wire.written.set(written);
-        if let Some((_, server, figures)) =
+        if let Some((_, server, metrics)) =
             self.wire.whole.borrow_mut().take_if(|(whole, ..)| written >= whole.get())
         {
-            figures.sent(server);
+            metrics.sent(server);
         }
         n
     }
@@ -226,7 +226,7 @@
     resting: RefCell<HashSet<ServerId>>,
     held: Rc<Cell<usize>>,
     most: usize,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
     budget: Rc<Budget>,
     connect_timeout: Duration,
     idle_most: Duration,
@@ -237,7 +237,7 @@
     /// Knows no backend yet; holds at most `most` connections.
     pub fn new(
         most: usize,
-        figures: Rc<Figures>,
+        metrics: Rc<Metrics>,
         budget: Rc<Budget>,
         connect_timeout: Duration,
         keepalive: Duration,
@@ -248,7 +248,7 @@
             resting: RefCell::default(),
             held: Rc::default(),
             most,
-            figures,
+            metrics,
             budget,
             connect_timeout,
             idle_most: keepalive.mul_f64(IDLE_SHARE),
@@ -404,7 +404,7 @@
             let length = length(&request).map_or(u64::MAX, |length| connection.wire.written.get() + length);
             let whole = Goal::new(Cell::new(length));
             *progress.wire.borrow_mut() = Some((connection.wire.clone(), whole.clone()));
-            *connection.wire.whole.borrow_mut() = Some((whole.clone(), server, self.figures.clone()));
+            *connection.wire.whole.borrow_mut() = Some((whole.clone(), server, self.metrics.clone()));
             if length == u64::MAX {
                 // What ends the body is written next.
                 let wire = connection.wire.clone();
--- a/agent/src/renderers/upstream/tests.rs
+++ b/agent/src/upstream/client/tests.rs
@@ -21,11 +21,11 @@
     let dial = held.local_addr().expect("an address").to_string();
     let host = serde_json::json!({"host": "s", "dial": dial, "site": "a", "health": "up"});
     let list = serde_json::json!({"seq": 1, "whole": true, "hosts": [host]});
-    let list = crate::list::read_list(list.to_string().as_bytes(), 1).expect("a list");
+    let list = crate::endpoint_list::read_list(list.to_string().as_bytes(), 1).expect("a list");
     let wait = Duration::from_secs(10);
     for (places, outcome) in [(0, Outcome::NotSent), (1, Outcome::ConnectFailed)] {
         let budget = Rc::new(Budget::of(32, false));
-        let upstream = Rc::new(Upstream::new(places, Figures::new(1), budget, wait, wait, Vec::new()));
+        let upstream = Rc::new(Upstream::new(places, Metrics::new(1), budget, wait, wait, Vec::new()));
         upstream.describe(ServerId(1), &list.hosts[0]);
         let request = Request::get("/a").header("host", "s").body(Outgoing::default()).expect("a request");
         let progress = Progress::default();
@@ -48,7 +48,7 @@
         let dial = listener.local_addr().expect("an address").to_string();
         let host = serde_json::json!({"host": "s", "dial": dial, "site": "a", "health": "up"});
         let list = serde_json::json!({"seq": 1, "whole": true, "hosts": [host]});
-        let list = crate::list::read_list(list.to_string().as_bytes(), 1).expect("a list");
+        let list = crate::endpoint_list::read_list(list.to_string().as_bytes(), 1).expect("a list");
         // Answers one request on each of two connections and hands the connections out.
         let answering = std::thread::spawn(move || {
             [(); 2].map(|()| {
@@ -64,7 +64,7 @@
             })
         });
         let budget = Rc::new(Budget::of(32, false));
-        let upstream = Rc::new(Upstream::new(4, Figures::new(1), budget, wait, wait, Vec::new()));
+        let upstream = Rc::new(Upstream::new(4, Metrics::new(1), budget, wait, wait, Vec::new()));
         upstream.describe(ServerId(1), &list.hosts[0]);
         tokio::task::LocalSet::new()
             .run_until(async {
--- a/agent/src/renderers/discovery.rs
+++ b/agent/src/upstream/discovery.rs
@@ -3,7 +3,7 @@
 //! When to begin a watch and when to ask again after a failure is the balancer's to say
 //! ([`balancer::Action::Follow`], [`balancer::Action::FetchList`]); a watch once begun is kept up here.
 
-use crate::list::{Envelope, Host, Reader, Unread};
+use crate::endpoint_list::{Envelope, Host, Reader, Unread};
 use crate::traffic::socket::Socket;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
--- a/agent/src/renderers/mod.rs
+++ b/agent/src/upstream/mod.rs
@@ -1,4 +1,4 @@
 //! The renderers' side: the connections to them, and discovery, which lists them.
 
+pub mod client;
 pub mod discovery;
-pub mod upstream;
--- a/control/src/print.rs
+++ b/control/src/print.rs
@@ -3,7 +3,7 @@
 use crate::agents::Agent;
 use crate::ask::Fault;
 use crate::say::{sum, Answers, Status};
-use balancer_agent::forms::{Counters, Renderer, Renderers, Zone, Zones};
+use balancer_agent::admin_api::{Counters, Renderer, Renderers, Zone, Zones};
 use comfy_table::{presets, CellAlignment, Table};
 use serde::Serialize;
 use serde_json::{json, Value};
--- a/control/src/say.rs
+++ b/control/src/say.rs
@@ -3,7 +3,7 @@
 use crate::agents::Agent;
 use crate::ask::{self, Fault, Said};
 use crate::{ALL_YES, NO_ANSWER, SOME_NO};
-use balancer_agent::forms::{Counters, Renderers, Zones};
+use balancer_agent::admin_api::{Counters, Renderers, Zones};
 use serde::Serialize;
 use std::time::Duration;
 
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -3,8 +3,8 @@
 //! the testbed, so that what it uses is told apart from what the testbed's stand-ins use.
 
 use crate::stage::processes::{bind_to_this, memory_mb, scheduled};
-use balancer_agent::staff::operator;
-use balancer_agent::staff::words::Staff;
+use balancer_agent::admin::commands::Admin;
+use balancer_agent::admin::listener;
 use balancer_agent::{Config, Driver};
 use serde_json::json;
 use std::io::{BufRead, Write};
@@ -65,8 +65,8 @@
     driver.accepts.set(true);
     tokio::task::spawn_local(driver.clone().run());
     if let Some(port) = args.staff {
-        let staff = Staff::new(driver.clone(), None, name, listen);
-        tokio::task::spawn_local(operator::listen(staff, staff_address(number, port)));
+        let staff = Admin::new(driver.clone(), None, name, listen);
+        tokio::task::spawn_local(listener::listen(staff, staff_address(number, port)));
     }
     Ok(driver)
 }
