--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone)]
 struct Known {
     name: Rc<str>,
-    line: Listed,
+    line: Endpoint,
 }
 
 /// What an open request still waits for, so that its name can be dropped afterwards.
@@ -90,8 +90,8 @@
         }
         let instance = self.instances.get_mut(&who).ok_or("an event came before ATTACH")?;
         let event = match incoming {
-            Incoming::Registry { form, r#ref, .. } => Some(Event::List(match form {
-                wire::Form::Error => ListUpdate::Failed,
+            Incoming::Registry { form, r#ref, .. } => Some(Event::Endpoints(match form {
+                wire::Form::Error => EndpointUpdate::Failed,
                 form => {
                     let number = r#ref.ok_or("REGISTRY names no catalogue")?;
                     let list = self.catalogues.get(&number).ok_or_else(|| {
@@ -99,9 +99,9 @@
                     })?;
                     let lines = instance.intern_list(list);
                     match form {
-                        wire::Form::Partial => ListUpdate::Changes(lines),
-                        wire::Form::Complete => ListUpdate::Complete(lines),
-                        _ => ListUpdate::Saved(lines),
+                        wire::Form::Partial => EndpointUpdate::Changes(lines),
+                        wire::Form::Complete => EndpointUpdate::Complete(lines),
+                        _ => EndpointUpdate::Saved(lines),
                     }
                 }
             })),
@@ -156,7 +156,7 @@
 
     /// A server's number is a hash of its name, so that balancers mean the same by it when they talk. Should two
     /// names meet in one number, the later one takes the next that is free.
-    fn intern_list(&mut self, list: &[Known]) -> Vec<Listed> {
+    fn intern_list(&mut self, list: &[Known]) -> Vec<Endpoint> {
         list.iter()
             .map(|known| {
                 let server = *self.servers.entry(known.name.clone()).or_insert_with(|| {
@@ -167,7 +167,7 @@
                     self.server_names.insert(ServerId(id), known.name.clone());
                     ServerId(id)
                 });
-                Listed { server, ..known.line.clone() }
+                Endpoint { server, ..known.line.clone() }
             })
             .collect()
     }
@@ -217,7 +217,7 @@
             }
             Incoming::Aborted { ticket } => self.tickets.get_mut(&*ticket).map(|t| {
                 t.ended = true;
-                Event::ClientGone { request: t.id }
+                Event::ClientDisconnected { request: t.id }
             }),
             Incoming::Elapsed { key_back } => Some(Event::Timer(TimerId(key_back))),
             Incoming::Probed { backend, ending, time_taken_ms, gauge } => {
@@ -226,10 +226,10 @@
                     .get(&*backend)
                     .ok_or_else(|| format!("PROBED names backend {backend}, which no list has named"))?;
                 let elapsed = Span::from_ms(time_taken_ms);
-                Some(Event::Probed { server, outcome: outcome(ending), elapsed, report: gauge })
+                Some(Event::HealthChecked { server, outcome: outcome(ending), elapsed, report: gauge })
             }
             Incoming::Mail { src_peer, raw } => {
-                Some(Event::PeerMessage { from: PeerId(src_peer), payload: unhex(&raw)? })
+                Some(Event::Gossip { from: PeerId(src_peer), payload: unhex(&raw)? })
             }
             Incoming::Attach { .. }
             | Incoming::Retire {}
@@ -251,34 +251,34 @@
                 let backend = backend(server, &self.server_names);
                 let Some((ticket, entry)) = self.ticket(request) else { return gone() };
                 entry.out += 1;
-                Outgoing::Route { ticket, backend, until_ms: timeout_at.ms() }
+                Outgoing::Route { ticket, backend, until_ms: timeout_at.as_ms() }
             }
             Action::Cancel { request, attempt } => {
                 let Some((ticket, _)) = self.ticket(request) else { return gone() };
                 Outgoing::Abandon { ticket, attempt: attempt.0 }
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let Some((ticket, entry)) = self.ticket(request) else { return gone() };
                 entry.ended = true;
-                Outgoing::OverloadReply { ticket, not_before_for_ms: retry_after.map(Span::ms) }
+                Outgoing::OverloadReply { ticket, not_before_for_ms: retry_after.map(Span::as_ms) }
             }
             Action::Fail { request } => {
                 let Some((ticket, entry)) = self.ticket(request) else { return gone() };
                 entry.ended = true;
                 Outgoing::Abort { ticket }
             }
-            Action::SetTimer { at, timer } => Outgoing::Timer { at_ms: at.ms(), key_back: timer.0 },
-            Action::Probe { server } => {
+            Action::SetTimer { at, timer } => Outgoing::Timer { at_ms: at.as_ms(), key_back: timer.0 },
+            Action::HealthCheck { server } => {
                 Outgoing::HealthCheck { backend: backend(server, &self.server_names) }
             }
-            Action::CloseIdle { server } => {
+            Action::CloseIdleConnections { server } => {
                 Outgoing::CloseIdle { backend: backend(server, &self.server_names) }
             }
-            Action::Tell { to, payload } => {
+            Action::Gossip { to, payload } => {
                 Outgoing::Announce { to: to.map_or(-1, |peer| i64::from(peer.0)), raw: hex(&payload) }
             }
-            Action::Follow { active } => Outgoing::Follow { active },
-            Action::FetchList => Outgoing::Pull {},
+            Action::Watch { active } => Outgoing::Follow { active },
+            Action::FetchEndpoints => Outgoing::Pull {},
             Action::Log { text, .. } => Outgoing::NoteDown { what: text },
         }
     }
@@ -307,7 +307,7 @@
     let started = entry.last_start_ms.filter(|ms| *ms > 0.0).map(Time::from_ms);
     Ok(Known {
         name: Rc::from(&*entry.backend),
-        line: Listed {
+        line: Endpoint {
             server: ServerId(0),
             zone: ZoneId(entry.campus),
             kind: KindId(entry.class_of_host),
--- a/agent/src/check.rs
+++ b/agent/src/check.rs
@@ -1,7 +1,7 @@
 //! `balancer-agent check`: what a start would go by, for a person to read before one.
 
 use crate::process::Start;
-use balancer::{Effect, Group};
+use balancer::{DeduplicationScope, Idempotency};
 use std::fmt::Write;
 
 /// What a start would do with this, in lines.
@@ -26,13 +26,19 @@
     let hosts = config.known.hosts.len();
     let _ = writeln!(text, "  begins with a list of {hosts} renderers, version {}", config.known.seq);
     for (name, class) in config.names.classes.iter().zip(&config.settings.classes) {
-        let (aim, deadline) = (class.aim.ms(), class.deadline.ms());
-        let effect = match class.effect {
-            Effect::Idempotent => "safe to repeat",
-            Effect::Deduplicated { group: Group::All, .. } => "repeats are dropped everywhere",
-            Effect::Deduplicated { group: Group::Zone, .. } => "repeats are dropped within a zone",
-            Effect::Deduplicated { group: Group::Cell, .. } => "repeats are dropped within a cell",
-            Effect::AtMostOnce => "never repeated",
+        let (aim, deadline) = (class.latency_objective.as_ms(), class.deadline.as_ms());
+        let effect = match class.idempotency {
+            Idempotency::Idempotent => "safe to repeat",
+            Idempotency::Deduplicated { scope: DeduplicationScope::All, .. } => {
+                "repeats are dropped everywhere"
+            }
+            Idempotency::Deduplicated { scope: DeduplicationScope::Zone, .. } => {
+                "repeats are dropped within a zone"
+            }
+            Idempotency::Deduplicated { scope: DeduplicationScope::Cell, .. } => {
+                "repeats are dropped within a cell"
+            }
+            Idempotency::AtMostOnce => "never repeated",
         };
         let _ = writeln!(text, "  class {name}: {effect}, aim {aim} ms, deadline {deadline} ms");
     }
--- a/agent/src/config/mod.rs
+++ b/agent/src/config/mod.rs
@@ -126,7 +126,7 @@
             return Err(format!("limits.sockets is below {SOCKETS_LEAST}; that leaves no room to serve"));
         }
         let sockets = file.limits.sockets.unwrap_or(SOCKETS).min(SOCKETS_MOST);
-        settings.at_once = Some((sockets / CLIENTS_SHARE) as u32);
+        settings.max_concurrent_requests = Some((sockets / CLIENTS_SHARE) as u32);
         let seed = file.seed.unwrap_or_default();
         let memory_mb = file.limits.memory_mb.unwrap_or(MEMORY_MB) as u64;
         let servers_most = ((memory_mb << 20) / SERVERS_SHARE / SERVER_BYTES) as usize;
--- a/agent/src/downstream/server.rs
+++ b/agent/src/downstream/server.rs
@@ -6,7 +6,7 @@
 use crate::traffic::pace::{Asked, Pace, Patience, Timed};
 use crate::traffic::socket::Socket;
 use crate::upstream::client::{forwarded, Served};
-use balancer::{ClassId, Effect, KeyId, RequestId, Span, TenantId};
+use balancer::{ClassId, Idempotency, KeyId, RequestId, Span, TenantId};
 use balancer_settings::fnv1a;
 use bytes::BytesMut;
 use http_body_util::BodyExt;
@@ -324,7 +324,7 @@
         let wait = text(&head.headers, "x-timeout").and_then(wait_of);
         let wait = wait.ok_or_else(|| bad("X-Timeout must be a time such as 480m or 900u"))?;
         let effect = self.driver.effects[class];
-        let safe = effect == Effect::Idempotent;
+        let safe = effect == Idempotency::Idempotent;
         let methods: &[Method] = if safe { &[Method::GET, Method::HEAD] } else { &[Method::POST] };
         if !methods.contains(&head.method) {
             let mut answer = plain(StatusCode::METHOD_NOT_ALLOWED, "this class has another method");
@@ -333,7 +333,7 @@
             return Err(answer);
         }
         let keyed = head.headers.get("idempotency-key").is_some_and(|key| !key.is_empty());
-        if matches!(effect, Effect::Deduplicated { .. }) && !keyed {
+        if matches!(effect, Idempotency::Deduplicated { .. }) && !keyed {
             return Err(bad("this class needs an Idempotency-Key"));
         }
         let expects = head.headers.contains_key(EXPECT);
@@ -420,7 +420,7 @@
         Answer::Refused(after) => {
             let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused; trying again is harmless");
             let after =
-                after.and_then(|after| HeaderValue::from_str(&format!("{:.3}", after.ms() / 1e3)).ok());
+                after.and_then(|after| HeaderValue::from_str(&format!("{:.3}", after.as_ms() / 1e3)).ok());
             response.headers_mut().extend(after.map(|after: HeaderValue| (RETRY_AFTER, after)));
             response
         }
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -15,8 +15,8 @@
 use crate::upstream::client::{Ended, Progress, Upstream};
 use crate::upstream::discovery::{Discovery, Listener, News, STEP};
 use balancer::{
-    Action, AttemptNo, Balancer, Effect, Event, Fleet, Lessons, ListUpdate, Outcome, RequestId, ServerId,
-    SettingsError, Span, Status, Time, View, ZoneId,
+    Action, AttemptNo, Balancer, EndpointCounts, EndpointUpdate, Event, Idempotency, Outcome, RequestId,
+    ServerId, ServerView, SettingsError, Snapshot, Span, Status, Time, ZoneId,
 };
 use balancer_settings::Names;
 use hyper::StatusCode;
@@ -48,7 +48,7 @@
     /// The names of the settings.
     pub names: Names,
     /// What each class would do twice, by its number.
-    pub effects: Vec<Effect>,
+    pub effects: Vec<Idempotency>,
     /// Clients are being accepted.
     pub accepts: Cell<bool>,
     metrics: Rc<Metrics>,
@@ -63,7 +63,7 @@
     /// A driver that has the list that the configuration knows.
     pub fn start(config: Config, connections: usize) -> Result<Rc<Self>, SettingsError> {
         let clock = Clock::start();
-        let effects = config.settings.classes.iter().map(|c| c.effect).collect();
+        let effects = config.settings.classes.iter().map(|c| c.idempotency).collect();
         let metrics = Metrics::new(config.names.classes.len());
         let budget = Rc::new(Budget::of(config.memory_mb, config.shared));
         let connect_timeout = Duration::from_micros(config.names.connect_timeout.0);
@@ -100,13 +100,13 @@
             let mut state = driver.state.borrow_mut();
             let describe = |server, host: &_| driver.upstream.describe(server, host);
             let list = state.servers.begin(config.known, &driver.names, describe);
-            state.queue.push(Event::List(ListUpdate::Saved(list)));
+            state.queue.push(Event::Endpoints(EndpointUpdate::Saved(list)));
             for action in actions {
                 driver.carry_out(&mut state, action);
             }
             // Where changes are pushed the balancer never asks for them; on sockets a watch is what brings them.
             if pushed {
-                driver.carry_out(&mut state, Action::Follow { active: true });
+                driver.carry_out(&mut state, Action::Watch { active: true });
             }
         }
         driver.pump();
@@ -129,23 +129,23 @@
     }
 
     /// How many servers there are, and how many of them are avoided.
-    pub fn fleet(&self) -> Fleet {
-        self.state.borrow().queue.balancer.fleet(self.clock.now())
+    pub fn fleet(&self) -> EndpointCounts {
+        self.state.borrow().queue.balancer.endpoint_counts(self.clock.now())
     }
 
     /// What is made of each renderer on the list, by name, and the attempts at it.
     pub fn renderers(&self) -> Vec<Renderer> {
         let state = self.state.borrow();
         let by_server = self.metrics.by_server();
-        let renderer = |view: View| {
+        let renderer = |view: ServerView| {
             let attempts = by_server.get(&view.server).copied().unwrap_or_default();
             Renderer {
                 id: state.servers.name(view.server).to_owned(),
                 zone: state.servers.zone(view.server).to_owned(),
                 serving: view.status == Status::Serving,
                 cordoned: view.cordoned,
-                doubted: view.doubted,
-                warmth: view.warmth,
+                doubted: view.outlier,
+                warmth: view.slow_start_factor,
                 limit: view.limit,
                 in_flight: view.in_flight.into(),
                 sends: attempts.sends,
@@ -155,7 +155,7 @@
             }
         };
         let mut renderers: Vec<_> =
-            state.queue.balancer.views(self.clock.now()).into_iter().map(renderer).collect();
+            state.queue.balancer.server_views(self.clock.now()).into_iter().map(renderer).collect();
         renderers.sort_by(|a, b| a.id.cmp(&b.id));
         renderers
     }
@@ -176,13 +176,13 @@
     }
 
     /// What has been learned.
-    pub fn lessons(&self) -> Lessons {
-        self.state.borrow().queue.balancer.lessons(self.clock.now())
+    pub fn lessons(&self) -> Snapshot {
+        self.state.borrow().queue.balancer.snapshot(self.clock.now())
     }
 
     /// Begins with what another process has learned.
-    pub fn learn(self: &Rc<Self>, lessons: Lessons) {
-        self.tell([Event::Learned(lessons)]);
+    pub fn learn(self: &Rc<Self>, lessons: Snapshot) {
+        self.tell([Event::Restore(lessons)]);
     }
 
     /// Takes a server out of use for the operators, or brings it back as one that was out until `at`.
@@ -204,9 +204,9 @@
     pub fn zone(self: &Rc<Self>, name: &str, out: bool, at: Time) {
         let zone = ZoneId(place(&self.names.zones, name));
         // As with a cordon: one that another process has seen left and returned to comes back slowly here as well.
-        self.tell([Event::LeaveZone { zone }]);
+        self.tell([Event::EvacuateZone { zone }]);
         if !out {
-            self.tell([Event::ReturnZone { zone, at }]);
+            self.tell([Event::RestoreZone { zone, at }]);
         }
     }
 
@@ -288,11 +288,11 @@
             let mut state = self.state.borrow_mut();
             let Some(open) = state.requests.open.get_mut(&id) else { return };
             let event = match step {
-                Step::Spent => Event::Spent { request: id },
+                Step::Spent => Event::BodyConsumed { request: id },
                 Step::Whole => {
                     open.taken.whole();
                     let time_left = Span(open.parts.wait().as_micros() as u64);
-                    Event::Uploaded { request: id, time_left }
+                    Event::BodyComplete { request: id, time_left }
                 }
             };
             state.queue.push(event);
@@ -308,7 +308,7 @@
             if !state.requests.gone(id, &self.names) {
                 return;
             }
-            state.queue.push(Event::ClientGone { request: id });
+            state.queue.push(Event::ClientDisconnected { request: id });
         }
         self.pump();
     }
@@ -334,22 +334,22 @@
                     if lines.is_empty() {
                         return false;
                     }
-                    (ListUpdate::Part(lines), false)
+                    (EndpointUpdate::Partial(lines), false)
                 }
                 News::Whole(_) | News::GoOn => {
                     if let News::Whole(envelope) = news {
                         state.servers.ends(envelope);
                     }
                     match state.servers.step(STEP, &self.names, describe) {
-                        (lines, true) => (ListUpdate::Changes(lines), false),
-                        (lines, false) => (ListUpdate::Part(lines), true),
+                        (lines, true) => (EndpointUpdate::Changes(lines), false),
+                        (lines, false) => (EndpointUpdate::Partial(lines), true),
                     }
                 }
-                News::Failed => (ListUpdate::Failed, false),
-                News::Senseless => (ListUpdate::Senseless, false),
+                News::Failed => (EndpointUpdate::Failed, false),
+                News::Senseless => (EndpointUpdate::Unusable, false),
             }
         };
-        self.tell([Event::List(update)]);
+        self.tell([Event::Endpoints(update)]);
         let mut state = self.state.borrow_mut();
         while let Some((server, zone)) = state.servers.forget() {
             self.upstream.forget(server);
@@ -420,7 +420,7 @@
                     progress.call_off();
                 }
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 state.requests.answer(request, Answer::Refused(retry_after), &self.names);
             }
             Action::Fail { request } => {
@@ -433,15 +433,15 @@
                     self.wake.notify_one();
                 }
             }
-            Action::Probe { server } => self.probe(server),
-            Action::CloseIdle { server } => self.upstream.close_idle(server),
-            Action::Follow { active } => {
+            Action::HealthCheck { server } => self.probe(server),
+            Action::CloseIdleConnections { server } => self.upstream.close_idle(server),
+            Action::Watch { active } => {
                 let seq = state.servers.seq;
                 state.discovery.follow(&self.listener(), active, seq);
             }
-            Action::FetchList => state.discovery.fetch(&self.listener()),
+            Action::FetchEndpoints => state.discovery.fetch(&self.listener()),
             // Agents of this deployment have no way to talk to each other, and the settings say so.
-            Action::Tell { .. } => {}
+            Action::Gossip { .. } => {}
             Action::Log { server, zone, text } => {
                 let zone = match zone {
                     Some(zone) => state.servers.zone_name(zone),
@@ -544,7 +544,7 @@
                 let zone = state.servers.zone(server);
                 tracing::warn!(target: "request", server = name, zone, "an answer broke off on its way to the client");
             }
-            state.queue.push(Event::Broke { server });
+            state.queue.push(Event::ResponseAborted { server });
         }
         self.pump();
     }
@@ -555,7 +555,7 @@
             let sent = Instant::now();
             let Ended { outcome, report, .. } = driver.upstream.probe(server).await;
             let elapsed = Span(sent.elapsed().as_micros() as u64);
-            driver.tell([Event::Probed { server, outcome, elapsed, report }]);
+            driver.tell([Event::HealthChecked { server, outcome, elapsed, report }]);
         });
     }
 }
--- a/agent/src/driver/servers.rs
+++ b/agent/src/driver/servers.rs
@@ -6,7 +6,7 @@
 
 use crate::endpoint_list::{Envelope, Health, Host, List, Unread};
 use crate::metrics::Attempts;
-use balancer::{CellId, KindId, Listed, ServerId, Status, Time, ZoneId};
+use balancer::{CellId, Endpoint, KindId, ServerId, Status, Time, ZoneId};
 use balancer_settings::{fnv1a, Names};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 struct Known {
     name: String,
     /// As the last entry that could be read has it, and what of that is not the balancer's.
-    listed: Option<(Listed, Option<SocketAddr>, f64)>,
+    listed: Option<(Endpoint, Option<SocketAddr>, f64)>,
     /// The last answer that named it, by number.
     named_in: u64,
 }
@@ -134,7 +134,7 @@
         entries: Vec<Result<Host, Unread>>,
         names: &Names,
         mut describe: impl FnMut(ServerId, &Host),
-    ) -> Vec<Listed> {
+    ) -> Vec<Endpoint> {
         let mut lines = Vec::new();
         for entry in entries {
             match entry {
@@ -194,7 +194,7 @@
         most: usize,
         names: &Names,
         mut describe: impl FnMut(ServerId, &Host),
-    ) -> (Vec<Listed>, bool) {
+    ) -> (Vec<Endpoint>, bool) {
         let mut lines = Vec::new();
         while lines.len() < most {
             if let Some(host) = self.taking.added.pop_front() {
@@ -219,7 +219,7 @@
         list: List,
         names: &Names,
         mut describe: impl FnMut(ServerId, &Host),
-    ) -> Vec<Listed> {
+    ) -> Vec<Endpoint> {
         self.called();
         let unread = list.unread.into_iter().map(Err);
         let mut lines =
@@ -236,12 +236,12 @@
         host: &Host,
         names: &Names,
         describe: &mut impl FnMut(ServerId, &Host),
-    ) -> Option<Listed> {
+    ) -> Option<Endpoint> {
         let zone = ZoneId(place(&names.zones, &host.site));
         if self.zones.get(&zone).is_none_or(|name| *name != host.site) && self.zones.len() < ZONES_MOST {
             self.zones.insert(zone, host.site.clone());
         }
-        let line = Listed {
+        let line = Endpoint {
             server,
             zone,
             kind: KindId(place(&names.kinds, &host.kind)),
@@ -274,7 +274,7 @@
     }
 
     /// A server that a whole list does not name is gone, whatever else was known of it.
-    fn gone(&mut self, server: ServerId, describe: &mut impl FnMut(ServerId, &Host)) -> Option<Listed> {
+    fn gone(&mut self, server: ServerId, describe: &mut impl FnMut(ServerId, &Host)) -> Option<Endpoint> {
         let known = self.known.get_mut(&server)?;
         let (line, dial, born_ms) = known.listed.as_mut()?;
         line.status = Status::Gone;
--- a/agent/src/log.rs
+++ b/agent/src/log.rs
@@ -293,7 +293,7 @@
             text,
             "{}[{server} {outcome:?} {status} {idled} {:.1} ms {why}]",
             if text.is_empty() { "" } else { " " },
-            took.ms()
+            took.as_ms()
         );
     }
     text
--- a/agent/src/peers/handover.rs
+++ b/agent/src/peers/handover.rs
@@ -5,7 +5,7 @@
 //! file in `$TMPDIR` with the last word on each renderer and its time; the later word wins, whoever wrote it.
 //! A file names the agent and the deployment that it was written for, and nobody else takes it in.
 
-use balancer::{Lesson, Lessons, ServerId, Time};
+use balancer::{ServerId, ServerSnapshot, Snapshot, Time};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -221,18 +221,18 @@
 pub fn keep(
     folder: &Path,
     owner: &Owner,
-    lessons: Lessons,
+    lessons: Snapshot,
     name: impl Fn(ServerId) -> Option<String>,
 ) -> io::Result<()> {
-    let server = |l: Lesson| {
-        let Lesson { server, started, limit, cut, stretch, pace, samples, cold_sent, suspect } = l;
+    let server = |l: ServerSnapshot| {
+        let ServerSnapshot { server, started, limit, cut, stretch, pace, samples, cold_sent, suspect } = l;
         let started = started.map(|at| at.0);
         Some((
             name(server)?,
             LearnedServer { started, limit, cut, stretch, pace, samples, cold_sent, suspect },
         ))
     };
-    let Lessons { level, median, class_pace, warm_sent, servers } = lessons;
+    let Snapshot { level, median, class_pace, warm_sent, servers } = lessons;
     let servers = servers.into_iter().filter_map(server).collect();
     let of = owner.clone();
     let learned = Learned { form: FORM, of, at: unix_now(), level, median, class_pace, warm_sent, servers };
@@ -240,7 +240,7 @@
 }
 
 /// What the process beside this one has learned, if that is fresh.
-pub fn lessons(folder: &Path, owner: &Owner, id: impl Fn(&str) -> Option<ServerId>) -> Option<Lessons> {
+pub fn lessons(folder: &Path, owner: &Owner, id: impl Fn(&str) -> Option<ServerId>) -> Option<Snapshot> {
     let file = folder.join(owner.file(LEARNED));
     fs::metadata(&file).ok()?;
     let same = |theirs: &Owner| theirs == owner;
@@ -253,11 +253,11 @@
     let server = |(name, l): (String, LearnedServer)| {
         let LearnedServer { started, limit, cut, stretch, pace, samples, cold_sent, suspect } = l;
         let (server, started) = (id(&name)?, started.map(Time));
-        Some(Lesson { server, started, limit, cut, stretch, pace, samples, cold_sent, suspect })
+        Some(ServerSnapshot { server, started, limit, cut, stretch, pace, samples, cold_sent, suspect })
     };
     let Learned { level, median, class_pace, warm_sent, servers, .. } = learned;
     let servers = servers.into_iter().filter_map(server).collect();
-    Some(Lessons { level, median, class_pace, warm_sent, servers })
+    Some(Snapshot { level, median, class_pace, warm_sent, servers })
 }
 
 /// Replaces a file whole: who reads it finds the old text or the new one.
--- a/agent/src/peers/handover/tests.rs
+++ b/agent/src/peers/handover/tests.rs
@@ -91,7 +91,7 @@
     let folder = Folder::new("learned");
     let server = ServerId(7);
     let (started, samples) = (Some(Time(3)), 9);
-    let lesson = Lesson {
+    let lesson = ServerSnapshot {
         server,
         started,
         limit: 4.5,
@@ -103,7 +103,7 @@
         suspect: true,
     };
     let told =
-        Lessons { level: 0.5, median: 0.2, class_pace: vec![0.1], warm_sent: 2.0, servers: vec![lesson] };
+        Snapshot { level: 0.5, median: 0.2, class_pace: vec![0.1], warm_sent: 2.0, servers: vec![lesson] };
     keep(&folder.0, &owner(), told.clone(), |id| (id == server).then(|| "a".to_owned())).expect("written");
     let id = |name: &str| (name == "a").then_some(server);
     assert_eq!(lessons(&folder.0, &owner(), id), Some(told));
--- a/agent/src/upstream/discovery.rs
+++ b/agent/src/upstream/discovery.rs
@@ -1,7 +1,7 @@
 //! The server list: reading it, watching it, asking for the whole of it.
 //!
 //! When to begin a watch and when to ask again after a failure is the balancer's to say
-//! ([`balancer::Action::Follow`], [`balancer::Action::FetchList`]); a watch once begun is kept up here.
+//! ([`balancer::Action::Watch`], [`balancer::Action::FetchEndpoints`]); a watch once begun is kept up here.
 
 use crate::endpoint_list::{Envelope, Host, Reader, Unread};
 use crate::traffic::socket::Socket;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -207,7 +207,7 @@
     };
     Settings {
         // Descriptors are the host's to know.
-        at_once: None,
+        max_concurrent_requests: None,
         balancers: params.balancers.unwrap_or(standard.balancers),
         zone: ZoneId(params.zone),
         classes,
@@ -216,8 +216,8 @@
             .iter()
             .map(|p| Tenant { fraction: p.fraction, allowance_per_s: p.allowance_per_s })
             .collect(),
-        over_share_worth: params.over_share_worth.unwrap_or(standard.over_share_worth),
-        worth_by_work: params.worth_by == Some(WorthBy::Work),
+        over_quota_weight: params.over_share_worth.unwrap_or(standard.over_quota_weight),
+        weight_by_work: params.worth_by == Some(WorthBy::Work),
         goal: Goal {
             whole: params.goal.whole,
             worst_window: params.goal.worst_window,
@@ -230,16 +230,16 @@
             handshake: params.penalties.handshake,
             connection: params.penalties.connection,
             waste: params.penalties.waste,
-            late_fail: params.penalties.late_fail,
+            late_failure: params.penalties.late_fail,
         },
         discovery: match params.discovery {
-            Some(DiscoveryWord::OnRequest) => Discovery::OnRequest,
+            Some(DiscoveryWord::OnRequest) => Discovery::Polled,
             Some(DiscoveryWord::Pushed) | None => Discovery::Pushed,
         },
-        ask_within: span(rules.ask_within_ms, standard.ask_within),
+        max_poll_interval: span(rules.ask_within_ms, standard.max_poll_interval),
         report_source: match params.feedback.source {
-            Source::Piggyback => ReportSource::Answers,
-            Source::Pull => ReportSource::Probes,
+            Source::Piggyback => ReportSource::Responses,
+            Source::Pull => ReportSource::HealthChecks,
             Source::Silent => ReportSource::None,
         },
         report_fields: params.feedback.fields.iter().map(field).collect(),
@@ -248,45 +248,45 @@
             Some(WeightsWord::Live) => Weights::Live,
             Some(WeightsWord::Silent) | None => Weights::None,
         },
-        warm_keys: params.family_info.warm_keys,
+        key_affinity: params.family_info.warm_keys,
         max_attempts: params.limits.max_attempts.unwrap_or(standard.max_attempts),
-        second_copies: params.limits.second_copies,
+        hedging: params.limits.second_copies,
         cancel: params.limits.cancel,
         probes: params.limits.probes,
-        peers: params.limits.peers,
+        gossip: params.limits.peers,
         retry_after: params.limits.retry_after,
         max_retry_after: Span::from_ms(params.limits.max_retry_after_ms),
         drain_grace: span(rules.stop_sending_within_ms, standard.drain_grace),
-        cold_share: rules.cold_share.unwrap_or(standard.cold_share),
-        warm_after: span(rules.warm_after_ms, standard.warm_after),
+        initial_capacity: rules.cold_share.unwrap_or(standard.initial_capacity),
+        warm_up_time: span(rules.warm_after_ms, standard.warm_up_time),
         overload_factor: rules.overload_factor.unwrap_or(standard.overload_factor),
-        fall_after: span(rules.fall_ms, standard.fall_after),
-        period: span(params.period_ms, standard.period),
+        overload_window: span(rules.fall_ms, standard.overload_window),
+        event_interval: span(params.period_ms, standard.event_interval),
         keepalive: span(params.limits.keepalive_ms, standard.keepalive),
     }
 }
 
 fn class(params: &ClassParams) -> Class {
-    let effect = match params.effect {
-        EffectWord::Idempotent => Effect::Idempotent,
-        EffectWord::AtMostOnce => Effect::AtMostOnce,
-        EffectWord::Deduplicated => Effect::Deduplicated {
-            group: match params.group {
-                Some(GroupWord::All) => Group::All,
-                Some(GroupWord::Zone) => Group::Zone,
+    let idempotency = match params.effect {
+        EffectWord::Idempotent => Idempotency::Idempotent,
+        EffectWord::AtMostOnce => Idempotency::AtMostOnce,
+        EffectWord::Deduplicated => Idempotency::Deduplicated {
+            scope: match params.group {
+                Some(GroupWord::All) => DeduplicationScope::All,
+                Some(GroupWord::Zone) => DeduplicationScope::Zone,
                 // Without a stated group the narrowest one is the safe reading.
-                Some(GroupWord::Cell) | None => Group::Cell,
+                Some(GroupWord::Cell) | None => DeduplicationScope::Cell,
             },
             window: Span::from_ms(params.dedup_window_ms),
         },
     };
     Class {
-        effect,
-        aim: Span::from_ms(params.aim_ms),
-        aim_stretch: params.aim_stretch.unwrap_or(0.0),
+        idempotency,
+        latency_objective: Span::from_ms(params.aim_ms),
+        latency_objective_stretch: params.aim_stretch.unwrap_or(0.0),
         deadline: Span::from_ms(params.deadline_ms),
-        worth: params.points,
-        late_worth: params.late_worth,
+        priority_weight: params.points,
+        late_weight: params.late_worth,
         stream: params.stream,
     }
 }
--- a/src/index.rs
+++ b/src/index.rs
@@ -1,7 +1,7 @@
 //! Indexes over the servers: each is told what is so of one server, at the cost of that server alone, and tells what is
 //! so of all. None of them decides anything. A server is named by its slot; telling what was told before changes nothing.
 
-use crate::api::Time;
+use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A slot that is in no group.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,28 +7,40 @@
 //! ```
 //! use balancer::*;
 //!
-//! let class = Class { aim: Span::from_ms(100.0), deadline: Span::from_ms(400.0), ..Class::default() };
+//! let class = Class { latency_objective: Span::from_ms(100.0), deadline: Span::from_ms(400.0), ..Class::default() };
 //! let settings = Settings { classes: vec![class], ..Settings::default() };
 //! let mut balancer = Balancer::new(settings, 7).expect("usable settings");
 //! let mut actions = Vec::new();
 //!
 //! // The agent hears which servers there are ...
 //! let now = Time::from_ms(1000.0);
-//! let servers = vec![Listed::serving(ServerId(0)), Listed::serving(ServerId(1))];
-//! balancer.handle(now, Event::List(ListUpdate::Complete(servers)), &mut actions);
+//! let servers = vec![Endpoint::serving(ServerId(0)), Endpoint::serving(ServerId(1))];
+//! balancer.handle(now, Event::Endpoints(EndpointUpdate::Complete(servers)), &mut actions);
 //!
 //! // ... and passes on a request: the balancer says where to send it.
 //! let request = Request::new(RequestId(1), ClassId(0), Span::from_ms(400.0));
 //! balancer.handle(now, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: RequestId(1), .. })));
 //! ```
-mod api;
+mod action;
+mod endpoint;
+mod event;
+mod ids;
 mod index;
 mod logic;
 mod records;
+mod settings;
 #[cfg(test)]
 mod tests;
+mod time;
+mod view;
 mod zones;
 
-pub use api::*;
+pub use action::*;
+pub use endpoint::*;
+pub use event::*;
+pub use ids::*;
 pub use records::Balancer;
+pub use settings::*;
+pub use time::*;
+pub use view::*;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,12 +1,12 @@
-//! Every decision of the balancer; its interface (settings, events, actions) is in `src/api.rs`.
+//! Every decision of the balancer; its interface is in `settings.rs`, `event.rs` and `action.rs`.
 //!
 //! In the order of a request's life: `arrive` takes it in, `place` decides whether and where it goes
 //! (`candidates` -> `lightest` -> `remember`), `lawful` says what may still be done with it,
 //! `outcome` learns from the answer and decides what follows, `end` gives the one final answer. `tick` looks
 //! after silent servers, held requests and the list.
 
-use crate::api::*;
 use crate::records::*;
+use crate::*;
 
 /// Remembered servers (m) and fresh draws (d) of each pick; the paper asks for d >= m.
 const REMEMBERED: usize = 1;
@@ -121,6 +121,10 @@
 const ASK_AGAIN: Span = Span(200_000);
 const ASK_EACH: Span = Span(40_000);
 
+/// The longest pause after a call for the list that failed, at its mean, which is spread over a half to one and a half of
+/// it: with a second for the next call it is over before what discovery has counts as told, 6 s after it could be reached
+/// (the operators' standing page).
+pub(crate) const ASK_MOST: Span = Span((6_000_000 - 1_000_000) * 2 / 3);
 /// The news of a report fades over about this many milliseconds.
 const NEWS_MS: f64 = 2000.0;
 /// The part of its share that a doubted server is still sent, and for how long after own evidence or hearsay.
@@ -159,10 +163,10 @@
 
     /// To be called once, before the first event.
     pub fn start(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.settings.discovery == Discovery::OnRequest {
+        if self.settings.discovery == Discovery::Polled {
             // Most balancers start at once, at the beginning of a day or after a release that ended them.
             match self.ask_round() {
-                ASK_AGAIN => out.push(Action::Follow { active: true }),
+                ASK_AGAIN => out.push(Action::Watch { active: true }),
                 round => self.ask_at = Some(now + round * self.rng.f64()),
             }
         }
@@ -174,7 +178,7 @@
     fn ask_round(&self) -> Span {
         let asked = if self.settings.discovery == Discovery::Pushed { 0 } else { self.settings.balancers };
         let round = ASK_EACH * f64::from(asked);
-        round.min(self.settings.ask_within * 0.5).max(ASK_AGAIN)
+        round.min(self.settings.max_poll_interval * 0.5).max(ASK_AGAIN)
     }
 
     /// Takes in what has happened by `now` and appends what is to be done about it.
@@ -189,27 +193,27 @@
             Event::Outcome { request, attempt, outcome, elapsed, report, closed } => {
                 self.outcome(now, (request, attempt.0), (outcome, elapsed, report), closed, out);
             }
-            Event::Uploaded { request, time_left } => self.uploaded(now, request, time_left),
-            Event::Spent { request } => {
+            Event::BodyComplete { request, time_left } => self.uploaded(now, request, time_left),
+            Event::BodyConsumed { request } => {
                 if let Some(live) = self.live.get_mut(&request) {
                     live.spent = true;
                 }
             }
-            Event::Broke { server } => {
+            Event::ResponseAborted { server } => {
                 let Some(&s) = self.index.get(&server) else { return };
                 self.servers[s].broken += 1.0;
                 if self.fails(s, Some(true)) {
                     self.suspect(now, s, "failing", out);
                 }
             }
-            Event::ClientGone { request } => {
+            Event::ClientDisconnected { request } => {
                 self.live.remove(&request);
             }
             Event::Timer(TICK) => self.tick(now, out),
             Event::Timer(ASKED) => self.choose_asked(now, out),
             Event::Timer(_) => {}
-            Event::PeerMessage { payload, .. } => self.hear(now, &payload),
-            Event::Probed { server, outcome, report, .. } => {
+            Event::Gossip { payload, .. } => self.hear(now, &payload),
+            Event::HealthChecked { server, outcome, report, .. } => {
                 let Some(&s) = self.index.get(&server) else { return };
                 self.zone_probed(now, s, outcome == Outcome::Success);
                 match report {
@@ -219,21 +223,23 @@
                 }
                 self.choose_asked(now, out);
             }
-            Event::List(update) => self.list(now, update, out),
+            Event::Endpoints(update) => self.list(now, update, out),
             Event::Regions(regions) => {
                 self.set_regions(regions);
                 self.reopen(now, out);
             }
-            Event::Learned(lessons) => self.learned(now, lessons),
+            Event::Restore(lessons) => self.learned(now, lessons),
             Event::Cordon { server } => self.cordon(now, server, out),
             Event::Uncordon { server, at } => self.uncordon(now, server, at, out),
-            Event::LeaveZone { zone } => {
+            Event::EvacuateZone { zone } => {
                 if self.left.insert(zone) {
-                    self.of_zone(zone, |s| out.push(Action::CloseIdle { server: s.listed.server }));
+                    self.of_zone(zone, |s| {
+                        out.push(Action::CloseIdleConnections { server: s.listed.server })
+                    });
                     self.reopen(now, out);
                 }
             }
-            Event::ReturnZone { zone, at } => {
+            Event::RestoreZone { zone, at } => {
                 if self.left.remove(&zone) {
                     // What was learned stands; but all balancers return in the same moment.
                     self.of_zone(zone, |s| s.returned = Some(at));
@@ -249,8 +255,10 @@
 
     fn arrive(&mut self, now: Time, request: Request, out: &mut Vec<Action>) {
         let id = request.id;
-        let Some(&Class { aim, deadline: longest, .. }) = self.settings.classes.get(request.class.0) else {
-            out.push(Action::Refuse { request: id, retry_after: None });
+        let Some(&Class { latency_objective, deadline: longest, .. }) =
+            self.settings.classes.get(request.class.0)
+        else {
+            out.push(Action::Reject { request: id, retry_after: None });
             return;
         };
         if self.live.contains_key(&id) {
@@ -258,9 +266,9 @@
         }
         // First tries of a class wait alike; another wait is what earlier tries have left of the deadline.
         let alike = self.waits_alike(&request);
-        let spent = if alike { Span::ZERO } else { longest.less(request.time_left) };
+        let spent = if alike { Span::ZERO } else { longest.saturating_sub(request.time_left) };
         let deadline = now + request.time_left;
-        let wanted_by = (now + aim.less(spent)).min(deadline);
+        let wanted_by = (now + latency_objective.saturating_sub(spent)).min(deadline);
         self.count(now, &request);
         let over_share = self.over_share(&request);
         let (attempts, bound, spent) = (Vec::new(), false, false);
@@ -286,7 +294,7 @@
         let Some(tenant) = request.tenant.filter(|t| t.0 < self.settings.tenants.len()) else { return false };
         let all: f64 = self.tenant_asked.iter().sum();
         let fair = SHARE_SLACK * self.settings.tenants[tenant.0].fraction * all;
-        self.settings.over_share_worth < 1.0 && self.rng.f64() * self.tenant_asked[tenant.0] > fair.max(1.0)
+        self.settings.over_quota_weight < 1.0 && self.rng.f64() * self.tenant_asked[tenant.0] > fair.max(1.0)
     }
 
     /// Classes to be refused last. Refusing a set of classes costs their worth and, once, the part of the
@@ -294,15 +302,16 @@
     fn rank_classes(&mut self) {
         let classes = &self.settings.classes;
         let work = |c: usize| self.asked[c] * self.usual(c);
-        let worth =
-            |c: usize| classes[c].worth * if self.settings.worth_by_work { work(c) } else { self.asked[c] };
+        let priority_weight = |c: usize| {
+            classes[c].priority_weight * if self.settings.weight_by_work { work(c) } else { self.asked[c] }
+        };
         let mut order: Vec<usize> = (0..classes.len()).filter(|&c| work(c) > 0.0).collect();
-        order.sort_by(|&a, &b| (worth(a) / work(a)).total_cmp(&(worth(b) / work(b))));
-        let total: f64 = order.iter().map(|&c| worth(c)).sum();
+        order.sort_by(|&a, &b| (priority_weight(a) / work(a)).total_cmp(&(priority_weight(b) / work(b))));
+        let total: f64 = order.iter().map(|&c| priority_weight(c)).sum();
         let goal = &self.settings.goal;
         let (mut lost, mut freed, mut least, mut giving) = (goal.worst_class * total, 0.0, f64::INFINITY, 0);
         for (i, &c) in order.iter().enumerate() {
-            lost += (goal.whole + goal.worst_window) * worth(c);
+            lost += (goal.whole + goal.worst_window) * priority_weight(c);
             freed += work(c);
             if lost / freed < least {
                 (least, giving) = (lost / freed, i + 1);
@@ -315,13 +324,13 @@
     /// Sent now, it would not be answered while that is worth something; or there is nowhere to send it.
     fn hopeless(&self, now: Time, live: &Live) -> bool {
         let c = &self.settings.classes[live.request.class.0];
-        let soon = c.aim * (0.7 * self.class_pace[live.request.class.0]);
-        self.shut || now + soon >= if c.late_worth > 0.0 { live.deadline } else { live.wanted_by }
+        let soon = c.latency_objective * (0.7 * self.class_pace[live.request.class.0]);
+        self.shut || now + soon >= if c.late_weight > 0.0 { live.deadline } else { live.wanted_by }
     }
 
     /// Keeps a request for later, or ends it if that is hopeless.
     fn hold(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
-        let most = self.settings.at_once.map_or(f64::INFINITY, |n| HOLD_SHARE * f64::from(n));
+        let most = self.settings.max_concurrent_requests.map_or(f64::INFINITY, |n| HOLD_SHARE * f64::from(n));
         if self.held.len() >= HELD_MOST || self.live.len() as f64 > most {
             self.end(now, id, out);
             return;
@@ -340,22 +349,24 @@
         let first = live.attempts.iter().find(|a| a.fate != Fate::NeverRan);
         let full = live.attempts.len() >= self.settings.max_attempts as usize;
         let shut =
-            full || live.bound || live.spent || now >= live.deadline || (out && !self.settings.second_copies);
-        let send = match (first, class.effect) {
+            full || live.bound || live.spent || now >= live.deadline || (out && !self.settings.hedging);
+        let send = match (first, class.idempotency) {
             _ if shut => Reach::Nowhere,
-            (None, _) | (_, Effect::Idempotent) => Reach::Anywhere,
-            (Some(_), Effect::AtMostOnce) => Reach::Nowhere,
-            (Some(first), Effect::Deduplicated { window, .. }) if now > first.sent + window => Reach::Nowhere,
-            (Some(first), Effect::Deduplicated { group, .. }) => match group {
-                Group::All => Reach::Anywhere,
-                Group::Zone => Reach::Zone(first.zone),
-                Group::Cell => Reach::Cell(first.cell),
+            (None, _) | (_, Idempotency::Idempotent) => Reach::Anywhere,
+            (Some(_), Idempotency::AtMostOnce) => Reach::Nowhere,
+            (Some(first), Idempotency::Deduplicated { window, .. }) if now > first.sent + window => {
+                Reach::Nowhere
+            }
+            (Some(first), Idempotency::Deduplicated { scope, .. }) => match scope {
+                DeduplicationScope::All => Reach::Anywhere,
+                DeduplicationScope::Zone => Reach::Zone(first.zone),
+                DeduplicationScope::Cell => Reach::Cell(first.cell),
             },
         };
-        let refuse = match (first, class.effect) {
-            (None, _) | (_, Effect::Idempotent) => true,
-            (Some(_), Effect::AtMostOnce) => false,
-            (Some(_), Effect::Deduplicated { group, .. }) => group == Group::All,
+        let refuse = match (first, class.idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (Some(_), Idempotency::AtMostOnce) => false,
+            (Some(_), Idempotency::Deduplicated { scope, .. }) => scope == DeduplicationScope::All,
         };
         Lawful { send, refuse: refuse && !live.bound }
     }
@@ -366,8 +377,8 @@
         let Some(live) = self.live.get(&request) else { return false };
         let (earlier, rest) = live.attempts.split_at((attempt.0 as usize).min(live.attempts.len()));
         let first = earlier.iter().find(|a| a.fate != Fate::NeverRan);
-        let late = match (first, self.settings.classes[live.request.class.0].effect) {
-            (Some(first), Effect::Deduplicated { window, .. }) => now > first.sent + window,
+        let late = match (first, self.settings.classes[live.request.class.0].idempotency) {
+            (Some(first), Idempotency::Deduplicated { window, .. }) => now > first.sent + window,
             _ => false,
         };
         let this = rest.first().and_then(|this| self.index.get(&this.server));
@@ -405,7 +416,11 @@
         let s = &self.settings;
         let telling = s.report_fields.iter().any(|f| matches!(f, ReportField::InFlight | ReportField::Queue));
         let price = s.prices.probe * self.compared() as f64;
-        s.probes && s.report_source == ReportSource::Probes && telling && price <= ASK_PRICE && self.blind
+        s.probes
+            && s.report_source == ReportSource::HealthChecks
+            && telling
+            && price <= ASK_PRICE
+            && self.blind
     }
 
     /// Probes the candidates; the pick waits until all have answered, for a small part of the aim at most.
@@ -413,9 +428,10 @@
         candidates.sort_unstable();
         candidates.dedup();
         let live = &self.live[&id];
-        let until = (now + self.settings.classes[live.request.class.0].aim * ASK_WAIT).min(live.deadline);
+        let until = (now + self.settings.classes[live.request.class.0].latency_objective * ASK_WAIT)
+            .min(live.deadline);
         for &c in &candidates {
-            out.push(Action::Probe { server: self.servers[c].listed.server });
+            out.push(Action::HealthCheck { server: self.servers[c].listed.server });
         }
         out.push(Action::SetTimer { at: until, timer: ASKED });
         self.asking.push(Asking { id, candidates, since: now, until });
@@ -467,12 +483,14 @@
         // Many balancers with one request each are a crowd too: below one, the limit is kept by rests, judged
         // by the limit as it is now; else one late answer at a low level would rest a server for a minute.
         let limit = s.limit * self.level;
-        let rested = now.since(s.ended).ms() >= s.took * (1.0 / limit - 1.0).max(0.0) && now >= s.rest_until;
-        let warmth = self.warmth(s, now);
-        let share = || warmth * self.warm_sent.now(now);
+        let rested =
+            now.since(s.ended).as_ms() >= s.took * (1.0 / limit - 1.0).max(0.0) && now >= s.rest_until;
+        let slow_start_factor = self.slow_start_factor(s, now);
+        let share = || slow_start_factor * self.warm_sent.now(now);
         let owed = || s.try_by.is_some_and(|by| now >= by);
-        let cold = warmth < 1.0 && self.warm() > 0 && s.cold_sent.now(now) + work > share() && !owed();
-        rested && !cold && f64::from(s.at_work()) + 1.0 <= (limit * warmth).max(1.0)
+        let cold =
+            slow_start_factor < 1.0 && self.warm() > 0 && s.cold_sent.now(now) + work > share() && !owed();
+        rested && !cold && f64::from(s.at_work()) + 1.0 <= (limit * slow_start_factor).max(1.0)
     }
 
     /// Fresh uniform draws from the servers that are ready for the request, and the remembered ones that are.
@@ -536,10 +554,10 @@
         if share < 1.0 && self.rng.f64() * (share + (1.0 - share) * wins) >= share {
             return false;
         }
-        let warmth = self.warmth(&self.servers[i], now);
+        let slow_start_factor = self.slow_start_factor(&self.servers[i], now);
         let wins = if self.asks() { self.compared() } else { 1 };
         let trust = (COLD_TRUST * self.settings.overload_factor).max(1.0);
-        !self.blind || warmth >= 1.0 || self.rng.f64() * (wins as f64) < trust * warmth
+        !self.blind || slow_start_factor >= 1.0 || self.rng.f64() * (wins as f64) < trust * slow_start_factor
     }
 
     /// The candidate with the least own load: requests in flight, scaled by what the machine costs (how slow
@@ -583,7 +601,7 @@
     fn bears(&self, s: &Server, now: Time) -> f64 {
         let size = if self.settings.weights == Weights::Size { s.listed.weight } else { 1.0 };
         let size = if size.is_finite() && size > 0.0 { size } else { 1.0 };
-        let news = s.reported_at.map_or(0.0, |at| (-now.since(at).ms() / NEWS_MS).exp());
+        let news = s.reported_at.map_or(0.0, |at| (-now.since(at).as_ms() / NEWS_MS).exp());
         let waiting = news * (s.reported + f64::from(s.sent_since)) + (1.0 - news) * self.crowd;
         let doubt = if now < s.doubted_until { DOUBTED } else { 1.0 };
         let kind = self.kinds.get(&s.listed.kind).map_or(self.median, |k| k.0);
@@ -655,11 +673,15 @@
         if closed {
             self.live.remove(&id);
         } else if let Some(live) = self.live.get_mut(&id) {
-            let fate = if outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
+            let fate = if outcome.is_not_executed() { Fate::NeverRan } else { Fate::MayHaveRun };
             live.attempts[key.1 as usize].fate = fate;
             if live.request.uploading {
                 // Its body waits with the client for the next attempt.
-                live.begin(now, live.request.time_left, self.settings.classes[live.request.class.0].aim);
+                live.begin(
+                    now,
+                    live.request.time_left,
+                    self.settings.classes[live.request.class.0].latency_objective,
+                );
             }
             self.follow_up(now, id, outcome, out);
         }
@@ -673,7 +695,7 @@
     fn let_go(&self, server: usize, out: &mut Vec<Action>) {
         let s = &self.servers[server];
         if s.in_flight == 0 && self.blind && !self.keeps() && !self.memory.contains(&server) {
-            out.push(Action::CloseIdle { server: s.listed.server });
+            out.push(Action::CloseIdleConnections { server: s.listed.server });
         }
     }
 
@@ -684,9 +706,9 @@
             return;
         }
         let useful = !self.hopeless(now, live);
-        let paid = outcome.never_ran() || self.retries >= 1.0;
+        let paid = outcome.is_not_executed() || self.retries >= 1.0;
         if self.lawful(live, now).send != Reach::Nowhere && useful && paid {
-            if !outcome.never_ran() {
+            if !outcome.is_not_executed() {
                 self.retries -= 1.0;
             }
             if !self.place(now, id, out) {
@@ -701,9 +723,11 @@
     fn end(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(live) = self.live.remove(&id) else { return };
         if self.lawful(&live, now).refuse {
-            let advice = self.settings.classes[live.request.class.0].aim.min(self.settings.max_retry_after);
+            let advice = self.settings.classes[live.request.class.0]
+                .latency_objective
+                .min(self.settings.max_retry_after);
             let retry_after = self.settings.retry_after.then_some(advice);
-            out.push(Action::Refuse { request: id, retry_after });
+            out.push(Action::Reject { request: id, retry_after });
         } else {
             out.push(Action::Fail { request: id });
         }
@@ -723,7 +747,9 @@
             let Some(live) = self.live.get(&id) else { return false };
             let class = live.request.class.0;
             let margin = (WAIT_MARGIN * self.class_now[class]).min(WAIT_MOST);
-            if self.hopeless(now, live) || now + self.settings.classes[class].aim * margin >= live.wanted_by {
+            if self.hopeless(now, live)
+                || now + self.settings.classes[class].latency_objective * margin >= live.wanted_by
+            {
                 self.end(now, id, out);
                 return false;
             }
@@ -735,11 +761,11 @@
     // ---- what is learned of servers -----------------------------------------------------------------
 
     fn learn(&mut self, now: Time, flight: &Flight, outcome: Outcome, elapsed: Span, out: &mut Vec<Action>) {
-        let aim = self.settings.classes[flight.class].aim.ms();
+        let latency_objective = self.settings.classes[flight.class].latency_objective.as_ms();
         let least = 1.0 / f64::from(self.settings.balancers.max(1));
         let (median, own, blind) = (self.median, self.servers[flight.server].at_work(), self.blind);
         let used = match outcome {
-            Outcome::Success => (elapsed.ms() / aim).min(LATE),
+            Outcome::Success => (elapsed.as_ms() / latency_objective).min(LATE),
             // Called back is not stopped: the work may still stand in the server's queue.
             Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled => LATE,
             _ => 0.0,
@@ -768,8 +794,10 @@
             // A full server is no sick one: it is only sent less.
             Outcome::Rejected => s.last_answer = now,
             // While it answers on other connections it is full and neither dead nor cut off.
-            Outcome::ConnectFailed if blind && own > 0 && now.since(s.last_answer).ms() < aim => {
-                s.rest_until = now + Span::from_ms(aim);
+            Outcome::ConnectFailed
+                if blind && own > 0 && now.since(s.last_answer).as_ms() < latency_objective =>
+            {
+                s.rest_until = now + Span::from_ms(latency_objective);
             }
             Outcome::ConnectFailed => s.failures += 1,
             Outcome::ServerError | Outcome::ConnectionReset => {
@@ -801,10 +829,10 @@
                 s.limit = (s.limit + growth).min(LIMIT_MOST);
             }
             // A full server rests in any case, or what it turns away would go round the fleet at once.
-            (s.ended, s.took) = (now, elapsed.ms());
+            (s.ended, s.took) = (now, elapsed.as_ms());
             if outcome == Outcome::Rejected {
-                s.took = aim;
-                s.rest_until = now + Span::from_ms(aim * self.class_pace[flight.class]);
+                s.took = latency_objective;
+                s.rest_until = now + Span::from_ms(latency_objective * self.class_pace[flight.class]);
             }
         }
         if flight.trial {
@@ -821,7 +849,7 @@
         }
         let slow = s.samples >= SLOW_SAMPLES && s.pace > SLOW * median && s.pace > TARGET;
         let late = self.blind && used >= 1.0 && outcome != Outcome::Rejected;
-        let failed = outcome.failure();
+        let failed = outcome.is_failure();
         let fails = self.fails(flight.server, (failed || used > 0.0).then_some(failed));
         if fails || slow || late {
             self.suspect(now, flight.server, if slow { "slow" } else { "failing" }, out);
@@ -874,11 +902,11 @@
         s.doubted_until = now + DOUBT_OWN;
         self.memory.retain(|&m| m != server);
         let payload = s.listed.server.0.to_be_bytes().to_vec();
-        let paid = if self.settings.peers { self.tell_bytes / payload.len() as f64 } else { 0.0 };
+        let paid = if self.settings.gossip { self.tell_bytes / payload.len() as f64 } else { 0.0 };
         for _ in 0..(paid as u32).min(TELL_MOST).min(self.settings.balancers - 1) {
             self.tell_bytes -= payload.len() as f64;
             let peer = PeerId(self.rng.u32(0..self.settings.balancers));
-            out.push(Action::Tell { to: Some(peer), payload: payload.clone() });
+            out.push(Action::Gossip { to: Some(peer), payload: payload.clone() });
         }
     }
 
@@ -895,20 +923,21 @@
 
     // ---- the list and the clock ---------------------------------------------------------------------
 
-    fn list(&mut self, now: Time, update: ListUpdate, out: &mut Vec<Action>) {
-        let part = matches!(update, ListUpdate::Part(_));
+    fn list(&mut self, now: Time, update: EndpointUpdate, out: &mut Vec<Action>) {
+        let part = matches!(update, EndpointUpdate::Partial(_));
         let (lines, complete) = match update {
-            ListUpdate::Failed | ListUpdate::Senseless => {
-                let failed = update == ListUpdate::Failed;
+            EndpointUpdate::Failed | EndpointUpdate::Unusable => {
+                let failed = update == EndpointUpdate::Failed;
                 let longer = if failed && self.settings.discovery == Discovery::Pushed { 1.0 } else { 2.0 };
-                let most = self.settings.ask_within.min(if failed { ASK_MOST } else { Span(u64::MAX) });
+                let most =
+                    self.settings.max_poll_interval.min(if failed { ASK_MOST } else { Span(u64::MAX) });
                 let jitter = 0.5 + self.rng.f64();
                 self.ask_at = Some(now + self.ask_pause.min(most) * jitter);
                 self.ask_pause = (self.ask_pause * longer).min(most);
                 return;
             }
-            ListUpdate::Part(lines) | ListUpdate::Changes(lines) => (lines, false),
-            ListUpdate::Complete(lines) | ListUpdate::Saved(lines) => (lines, true),
+            EndpointUpdate::Partial(lines) | EndpointUpdate::Changes(lines) => (lines, false),
+            EndpointUpdate::Complete(lines) | EndpointUpdate::Saved(lines) => (lines, true),
         };
         self.ask_pause = if part { self.ask_pause } else { self.ask_round() };
         self.take_lines(now, lines, complete, LIMIT_FIRST);
@@ -932,7 +961,7 @@
         self.pump(now, out);
     }
 
-    fn learned(&mut self, now: Time, lessons: Lessons) {
+    fn learned(&mut self, now: Time, lessons: Snapshot) {
         let limit_least = 1.0 / f64::from(self.settings.balancers.max(1));
         let level_least = if self.blind { LEVEL_LEAST } else { limit_least };
         let (limit_most, pace_most, trial_pause) = (LIMIT_MOST, LATE, TRIAL_FIRST);
@@ -945,7 +974,7 @@
 
     fn cordon(&mut self, now: Time, server: ServerId, out: &mut Vec<Action>) {
         if self.cordoned.insert(server) {
-            out.push(Action::CloseIdle { server });
+            out.push(Action::CloseIdleConnections { server });
             self.index.get(&server).copied().into_iter().for_each(|i| self.refile(i));
             self.reopen(now, out);
         }
@@ -962,7 +991,7 @@
         s.renew(s.listed.clone(), LIMIT_FIRST, now);
         s.returned = Some(at);
         self.try_again(i, at);
-        out.push(Action::CloseIdle { server });
+        out.push(Action::CloseIdleConnections { server });
         self.reopen(now, out);
     }
 
@@ -987,7 +1016,7 @@
         }
         if self.ask_at.is_some_and(|at| now >= at) {
             self.ask_at = None;
-            out.push(Action::Follow { active: true });
+            out.push(Action::Watch { active: true });
         }
         self.set_median();
         self.settle(now);
@@ -1002,11 +1031,12 @@
     /// may be repeated and can still be answered in time is called back from it and sent elsewhere.
     fn find_silent(&mut self, now: Time, out: &mut Vec<Action>) {
         let overdue = |(&key, flight): (&(RequestId, u32), &Flight)| {
-            let (server, aim) = (&self.servers[flight.server], self.settings.classes[flight.class].aim);
+            let (server, latency_objective) =
+                (&self.servers[flight.server], self.settings.classes[flight.class].latency_objective);
             let least = if server.in_flight > 1 { OVERDUE_LEAST } else { OVERDUE_ALONE };
             let work = self.live.get(&key.0).map_or(0.0, |live| self.work(live));
-            let pace = self.class_pace[flight.class].max(self.median).max(work / aim.ms());
-            let wait = aim * (OVERDUE * pace).max(least);
+            let pace = self.class_pace[flight.class].max(self.median).max(work / latency_objective.as_ms());
+            let wait = latency_objective * (OVERDUE * pace).max(least);
             let quiet = server.last_answer < flight.sent;
             let out = !flight.uploading && !flight.called && now.since(flight.sent) > wait;
             (quiet && out).then_some((key, flight.server, flight.sent))
@@ -1014,8 +1044,9 @@
         let silent: Vec<_> = self.flights.iter().filter_map(overdue).collect();
         // An answer that is late is known to be late before it comes; waiting for it lets a jam grow.
         let (classes, blind) = (&self.settings.classes, self.blind);
-        let late =
-            |f: &&mut Flight| blind && !f.counted && !f.uploading && now.since(f.sent) > classes[f.class].aim;
+        let late = |f: &&mut Flight| {
+            blind && !f.counted && !f.uploading && now.since(f.sent) > classes[f.class].latency_objective
+        };
         let late = self.flights.values_mut().filter(late).map(|f| f.counted = true).count();
         (0..late).for_each(|_| self.set_level(LATE));
         for &(key, server, sent) in &silent {
@@ -1036,10 +1067,10 @@
         out: &mut Vec<Action>,
     ) -> bool {
         let Some(live) = self.live.get(&key.0).filter(|live| !live.bound) else { return false };
-        let (tries, effect) =
-            (live.attempts.len() as u32, self.settings.classes[live.request.class.0].effect);
+        let (tries, idempotency) =
+            (live.attempts.len() as u32, self.settings.classes[live.request.class.0].idempotency);
         let spare = tries == key.1 + 1 && tries < self.settings.max_attempts && self.retries >= 1.0;
-        let may = effect == Effect::Idempotent || !safe && effect != Effect::AtMostOnce;
+        let may = idempotency == Idempotency::Idempotent || !safe && idempotency != Idempotency::AtMostOnce;
         let called = may && spare && self.settings.cancel && !self.hopeless(now, live);
         if let Some(flight) = self.flights.get_mut(&key).filter(|_| called) {
             flight.called = true;
--- a/src/records.rs
+++ b/src/records.rs
@@ -1,7 +1,7 @@
 //! What the decisions keep of requests, attempts and servers: records only, nothing is decided here.
 
-use crate::api::*;
 use crate::index::*;
+use crate::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,7 +45,7 @@
 
 impl Fading {
     pub(crate) fn now(&self, now: Time) -> f64 {
-        self.sum * (-now.since(self.at).ms() / self.over_ms.max(1.0)).exp()
+        self.sum * (-now.since(self.at).as_ms() / self.over_ms.max(1.0)).exp()
     }
 
     pub(crate) fn add(&mut self, now: Time, over_ms: f64, part: f64) {
@@ -107,9 +107,9 @@
 
 impl Live {
     /// Its time counts from now.
-    pub(crate) fn begin(&mut self, now: Time, time_left: Span, aim: Span) {
+    pub(crate) fn begin(&mut self, now: Time, time_left: Span, latency_objective: Span) {
         self.deadline = now + time_left;
-        self.wanted_by = (now + aim).min(self.deadline);
+        self.wanted_by = (now + latency_objective).min(self.deadline);
     }
 }
 
@@ -143,7 +143,7 @@
 }
 
 pub(crate) struct Server {
-    pub(crate) listed: Listed,
+    pub(crate) listed: Endpoint,
     /// The list and the operators let it be sent something.
     pub(crate) open: bool,
     pub(crate) in_flight: u32,
@@ -186,7 +186,7 @@
 }
 
 impl Server {
-    pub(crate) fn new(listed: Listed, limit: f64, now: Time) -> Self {
+    pub(crate) fn new(listed: Endpoint, limit: f64, now: Time) -> Self {
         Server {
             listed,
             open: false,
@@ -218,7 +218,7 @@
     }
 
     /// A new process on the same machine: what was learned of the old one says nothing, and it is cold.
-    pub(crate) fn renew(&mut self, listed: Listed, limit: f64, now: Time) {
+    pub(crate) fn renew(&mut self, listed: Endpoint, limit: f64, now: Time) {
         let Server { in_flight, uploading, last_answer, returned, try_by, pace_noted, .. } = *self;
         let new = Server::new(listed, limit, now);
         *self = Server { in_flight, uploading, last_answer, returned, try_by, pace_noted, ..new };
@@ -417,7 +417,7 @@
     /// Open servers brought back that are still to be tried, by when.
     pub(crate) untried: Dues,
     /// The server that each key was last sent to, where servers do known keys for less.
-    pub(crate) warm_keys: BTreeMap<KeyId, ServerId>,
+    pub(crate) key_affinity: BTreeMap<KeyId, ServerId>,
     /// Answer time of a class as a share of its aim, over all servers, leaning to the quick ones, so that a
     /// crowd does not pass for the usual state.
     pub(crate) class_pace: Vec<f64>,
@@ -461,7 +461,9 @@
     pub(crate) fn blank(settings: Settings, seed: u64) -> Self {
         let classes = settings.classes.len();
         let class_pace = vec![0.2; classes];
-        let in_cell = |c: &Class| matches!(c.effect, Effect::Deduplicated { group: Group::Cell, .. });
+        let in_cell = |c: &Class| {
+            matches!(c.idempotency, Idempotency::Deduplicated { scope: DeduplicationScope::Cell, .. })
+        };
         Balancer {
             rng: fastrand::Rng::with_seed(seed),
             servers: Vec::new(),
@@ -491,7 +493,7 @@
             warm_sent: Fading::default(),
             most: 0,
             blind: false,
-            warm_keys: BTreeMap::new(),
+            key_affinity: BTreeMap::new(),
             class_now: class_pace.clone(),
             class_pace,
             usual_wait: vec![(Span::ZERO, 0); classes],
@@ -530,7 +532,7 @@
 impl Balancer {
     /// Keeps the traffic of the last seconds by class and by tenant.
     pub(crate) fn count(&mut self, now: Time, request: &Request) {
-        let keep = (-now.since(self.counted_at).ms() / COUNT_MS).exp();
+        let keep = (-now.since(self.counted_at).as_ms() / COUNT_MS).exp();
         self.counted_at = now;
         self.asked.iter_mut().chain(&mut self.tenant_asked).for_each(|n| *n *= keep);
         self.asked[request.class.0] += 1.0;
@@ -543,7 +545,7 @@
     pub(crate) fn uploaded(&mut self, now: Time, id: RequestId, time_left: Span) {
         let Some(live) = self.live.get_mut(&id).filter(|live| live.request.uploading) else { return };
         live.request.uploading = false;
-        live.begin(now, time_left, self.settings.classes[live.request.class.0].aim);
+        live.begin(now, time_left, self.settings.classes[live.request.class.0].latency_objective);
         for (_, flight) in self.flights.range_mut((id, 0)..=(id, u32::MAX)).filter(|(_, f)| f.uploading) {
             (flight.uploading, flight.sent) = (false, now);
             self.servers[flight.server].uploading -= 1;
@@ -563,9 +565,9 @@
 
     /// Goes on from what another balancer knew, server by server while the process is the same; what makes no
     /// sense is left out.
-    pub(crate) fn take_over(&mut self, now: Time, lessons: Lessons, within: &Bounds) {
+    pub(crate) fn take_over(&mut self, now: Time, lessons: Snapshot, within: &Bounds) {
         let sane = |x: f64| x.is_finite() && x > 0.0;
-        let over = 0.5 * self.settings.fall_after.ms();
+        let over = 0.5 * self.settings.overload_window.as_ms();
         if sane(lessons.level) {
             self.level = lessons.level.clamp(within.level_least, 1.0);
         }
@@ -615,8 +617,8 @@
         let s = &mut self.servers[i];
         s.open = open;
         let (zone, cell, listed) = (s.listed.zone, s.listed.cell, s.listed.status == Status::Serving);
-        let colds = self.settings.cold_share < 1.0 && self.settings.warm_after > Span::ZERO;
-        let warm_at = s.listed.started.max(s.returned).map(|at| at + self.settings.warm_after);
+        let colds = self.settings.initial_capacity < 1.0 && self.settings.warm_up_time > Span::ZERO;
+        let warm_at = s.listed.started.max(s.returned).map(|at| at + self.settings.warm_up_time);
         self.serving.set(i, open);
         self.held_back.set(i, listed && !open);
         self.open_in.set(i, open.then_some(zone));
@@ -677,7 +679,7 @@
     /// Requests, keys and zones name it by its id; a slot that an attempt or a pick still names is freed later, and
     /// that of one which the operators hold back, or have just brought back, as well.
     fn free_gone(&mut self, now: Time) {
-        let while_away = self.settings.warm_after;
+        let while_away = self.settings.warm_up_time;
         for i in self.gone.due(now).take(FREED_MOST).collect::<Vec<_>>() {
             let (s, server) = (&self.servers[i], self.servers[i].listed.server);
             let asked = self.asking.iter().any(|a| a.candidates.contains(&i));
@@ -772,7 +774,7 @@
     }
 
     /// Takes in lines of the list; one that names a new process begins with `limit`.
-    pub(crate) fn take_lines(&mut self, now: Time, lines: Vec<Listed>, complete: bool, limit: f64) {
+    pub(crate) fn take_lines(&mut self, now: Time, lines: Vec<Endpoint>, complete: bool, limit: f64) {
         let mut touched: Vec<usize> = Vec::with_capacity(lines.len());
         if complete {
             touched.extend(self.index.values());
@@ -804,7 +806,7 @@
                 }
             }
         }
-        let forget_at = now + self.settings.warm_after;
+        let forget_at = now + self.settings.warm_up_time;
         for i in touched {
             self.refile(i);
             let gone = self.servers[i].listed.status == Status::Gone;
@@ -816,13 +818,13 @@
     }
 
     /// The share of its capacity that a server surely has.
-    pub(crate) fn warmth(&self, s: &Server, now: Time) -> f64 {
+    pub(crate) fn slow_start_factor(&self, s: &Server, now: Time) -> f64 {
         let Some(started) = s.listed.started.max(s.returned) else { return 1.0 };
-        let (age, warm) = (now.since(started).ms(), self.settings.warm_after.ms());
+        let (age, warm) = (now.since(started).as_ms(), self.settings.warm_up_time.as_ms());
         if age >= warm {
             return 1.0;
         }
-        let cold = self.settings.cold_share.min(1.0);
+        let cold = self.settings.initial_capacity.min(1.0);
         cold + (1.0 - cold) * age / warm
     }
 
@@ -842,11 +844,11 @@
     /// Keeps what a send changes: its attempt, the counts of its server and the work that cold ones have met; `kept` if
     /// an idle connection surely stood for it.
     pub(crate) fn note_send(&mut self, now: Time, pick: &Pick, server: usize, kept: bool) {
-        let (cold, warm) = (self.warmth(&self.servers[server], now) < 1.0, self.warm());
+        let (cold, warm) = (self.slow_start_factor(&self.servers[server], now) < 1.0, self.warm());
         let Some(live) = self.live.get_mut(&pick.id) else { return };
         let s = &mut self.servers[server];
         let (attempt, uploading) = (live.attempts.len() as u32, live.request.uploading);
-        let Listed { server: id, zone, cell, .. } = s.listed;
+        let Endpoint { server: id, zone, cell, .. } = s.listed;
         live.attempts.push(Attempt { server: id, zone, cell, sent: now, fate: Fate::Out });
         s.in_flight += 1;
         s.uploading += u32::from(uploading);
@@ -854,7 +856,7 @@
         s.idle = if kept { s.idle - 1 } else { 0 };
         let share = pick.work / warm.max(1) as f64;
         let (sent, work) = if cold { (&mut s.cold_sent, pick.work) } else { (&mut self.warm_sent, share) };
-        sent.add(now, 0.5 * self.settings.fall_after.ms(), work);
+        sent.add(now, 0.5 * self.settings.overload_window.as_ms(), work);
         s.try_by = None;
         self.untried.set(server, None);
         let trial = s.suspicion.is_some();
@@ -868,10 +870,10 @@
     /// Keeps where a request went: by its key, and among the last `most` servers.
     pub(crate) fn remember(&mut self, server: usize, key: Option<KeyId>, most: usize) {
         if let Some(key) = key {
-            if self.warm_keys.len() >= KEYS_MOST {
-                self.warm_keys.clear();
+            if self.key_affinity.len() >= KEYS_MOST {
+                self.key_affinity.clear();
             }
-            self.warm_keys.insert(key, self.servers[server].listed.server);
+            self.key_affinity.insert(key, self.servers[server].listed.server);
         }
         self.memory.retain(|&m| m != server);
         self.memory.insert(0, server);
@@ -881,7 +883,7 @@
     /// What a pick must know of a request.
     pub(crate) fn pick_for(&self, now: Time, live: &Live) -> Pick {
         let class = live.request.class.0;
-        let key = live.request.key.filter(|_| self.settings.warm_keys);
+        let key = live.request.key.filter(|_| self.settings.key_affinity);
         let slot = |server: &ServerId| self.index.get(server);
         Pick {
             id: live.request.id,
@@ -889,18 +891,19 @@
             reach: self.lawful(live, now).send,
             work: self.work(live),
             heavy: (self.work(live) / self.usual(class)).clamp(1.0, 9.0).sqrt(),
-            safe: self.settings.classes[class].effect == Effect::Idempotent,
+            safe: self.settings.classes[class].idempotency == Idempotency::Idempotent,
             key,
-            warm: key.and_then(|k| self.warm_keys.get(&k)).and_then(slot).copied(),
+            warm: key.and_then(|k| self.key_affinity.get(&k)).and_then(slot).copied(),
             tried: live.attempts.iter().filter_map(|a| slot(&a.server)).copied().collect(),
         }
     }
 
     /// Whether a request comes with its class's usual wait; it has a vote in what that is.
     pub(crate) fn waits_alike(&mut self, request: &Request) -> bool {
-        let period = self.settings.period;
+        let event_interval = self.settings.event_interval;
         let (usual, votes) = &mut self.usual_wait[request.class.0];
-        let near = request.time_left.less(*usual) <= period && usual.less(request.time_left) <= period;
+        let near = request.time_left.saturating_sub(*usual) <= event_interval
+            && usual.saturating_sub(request.time_left) <= event_interval;
         let alike = near || *votes == 0;
         match *votes {
             0 => (*usual, *votes) = (request.time_left, 1),
@@ -912,23 +915,23 @@
 
     /// The usual answer time of a class in milliseconds.
     pub(crate) fn usual(&self, class: usize) -> f64 {
-        (self.class_pace[class] * self.settings.classes[class].aim.ms()).max(0.001)
+        (self.class_pace[class] * self.settings.classes[class].latency_objective.as_ms()).max(0.001)
     }
 
     /// A guess at a request's work: the hint, else the usual answer time of its class.
     pub(crate) fn work(&self, live: &Live) -> f64 {
-        live.request.cost_hint.map_or_else(|| self.usual(live.request.class.0), Span::ms)
+        live.request.cost_hint.map_or_else(|| self.usual(live.request.class.0), Span::as_ms)
     }
 
     /// What a balancer that takes over from this one should know: of a large fleet the servers that most is known of.
-    pub fn lessons(&self, now: Time) -> Lessons {
+    pub fn snapshot(&self, now: Time) -> Snapshot {
         let mut told: Vec<&Server> = self.servers.iter().filter(|s| s.open).collect();
         if told.len() > LESSONS_MOST {
             let known = |s: &&Server| Reverse((s.suspicion.is_some(), s.samples > 0, s.ended));
             told.select_nth_unstable_by_key(LESSONS_MOST, known);
             told.truncate(LESSONS_MOST);
         }
-        let lesson = |s: &Server| Lesson {
+        let lesson = |s: &Server| ServerSnapshot {
             server: s.listed.server,
             started: s.listed.started,
             limit: s.limit,
@@ -939,7 +942,7 @@
             cold_sent: s.cold_sent.now(now),
             suspect: s.suspicion.is_some(),
         };
-        Lessons {
+        Snapshot {
             level: self.level,
             median: self.median,
             class_pace: self.class_pace.clone(),
@@ -950,25 +953,25 @@
 
     /// How many servers are listed, and how many of them are sent nothing, or next to nothing, for now: by the
     /// list's word, by the operators' or by choice.
-    pub fn fleet(&self, now: Time) -> Fleet {
+    pub fn endpoint_counts(&self, now: Time) -> EndpointCounts {
         let listed = || self.servers.iter().filter(|s| s.listed.status != Status::Gone);
         let doubted = |s: &Server| self.blind && s.doubted_until > now;
         let avoided = |s: &&Server| !s.open || s.suspicion.is_some() || doubted(s);
-        Fleet { listed: listed().count(), avoided: listed().filter(avoided).count() }
+        EndpointCounts { listed: listed().count(), avoided: listed().filter(avoided).count() }
     }
 
     /// What it makes of each server that the list has not removed.
-    pub fn views(&self, now: Time) -> Vec<View> {
+    pub fn server_views(&self, now: Time) -> Vec<ServerView> {
         let listed = self.servers.iter().filter(|s| s.listed.status != Status::Gone);
-        let view = |s: &Server| View {
+        let view = |s: &Server| ServerView {
             server: s.listed.server,
             zone: s.listed.zone,
             status: s.listed.status,
             cordoned: self.cordoned.contains(&s.listed.server),
-            doubted: s.suspicion.is_some() || (self.blind && s.doubted_until > now),
+            outlier: s.suspicion.is_some() || (self.blind && s.doubted_until > now),
             in_flight: s.in_flight,
             limit: s.limit * self.level,
-            warmth: self.warmth(s, now),
+            slow_start_factor: self.slow_start_factor(s, now),
         };
         listed.map(view).collect()
     }
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -1,7 +1,7 @@
 //! What is kept by increments is what a walk over all servers would find, whatever happens in whatever order.
 
-use crate::api::*;
 use crate::records::*;
+use crate::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const ZONES: u32 = 5;
@@ -9,21 +9,22 @@
 
 fn settings(pick: u64) -> Settings {
     let effects = [
-        Effect::Idempotent,
-        Effect::AtMostOnce,
-        Effect::Deduplicated { group: Group::Cell, window: Span::from_ms(600.0) },
-        Effect::Deduplicated { group: Group::Zone, window: Span::from_ms(600.0) },
+        Idempotency::Idempotent,
+        Idempotency::AtMostOnce,
+        Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: Span::from_ms(600.0) },
+        Idempotency::Deduplicated { scope: DeduplicationScope::Zone, window: Span::from_ms(600.0) },
     ];
-    let class = |effect| Class { effect, aim: Span::from_ms(100.0), ..Class::default() };
+    let class =
+        |idempotency| Class { idempotency, latency_objective: Span::from_ms(100.0), ..Class::default() };
     Settings {
         balancers: [1, 3, 9, 500][pick as usize % 4],
         zone: ZoneId(1),
         classes: effects.into_iter().map(class).collect(),
         prices: Prices { cross_zone: [0.0, 0.05][pick as usize % 2], ..Prices::default() },
-        warm_keys: pick % 2 == 0,
+        key_affinity: pick % 2 == 0,
         probes: pick % 3 == 0,
-        cold_share: [0.2, 1.0][usize::from(pick % 7 == 6)],
-        warm_after: Span::from_ms([3000.0, 0.0][usize::from(pick % 11 == 10)]),
+        initial_capacity: [0.2, 1.0][usize::from(pick % 7 == 6)],
+        warm_up_time: Span::from_ms([3000.0, 0.0][usize::from(pick % 11 == 10)]),
         ..Settings::default()
     }
 }
@@ -62,7 +63,7 @@
     assert_eq!(sorted(b.region.all().to_vec()), those(&region), "region");
     let suspect = |i: usize| open(i) && b.servers[i].suspicion.is_some();
     assert_eq!(b.suspects.iter().copied().collect::<Vec<_>>(), those(&suspect), "suspects");
-    let warm = |i: usize| open(i) && b.warmth(&b.servers[i], b.settled) >= 1.0;
+    let warm = |i: usize| open(i) && b.slow_start_factor(&b.servers[i], b.settled) >= 1.0;
     assert_eq!(b.warm(), those(&warm).len(), "warm");
     let untried = |i: usize| open(i) && b.servers[i].try_by.is_some();
     assert_eq!(sorted(b.untried.due(Time(u64::MAX)).collect()), those(&untried), "untried");
@@ -103,7 +104,7 @@
     let mut now = Time::from_ms(10_000.0);
     let mut out = Vec::new();
     b.start(now, &mut out);
-    let mut lines: BTreeMap<u32, Listed> = BTreeMap::new();
+    let mut lines: BTreeMap<u32, Endpoint> = BTreeMap::new();
     let mut flights: Vec<(RequestId, u32, Time)> = Vec::new();
     let mut sent: BTreeMap<RequestId, u32> = BTreeMap::new();
     let mut next = 0;
@@ -122,11 +123,11 @@
                     next = next.max(server + 1);
                     let started = rng.bool().then_some(now);
                     let (zone, cell) = (ZoneId(rng.u32(0..ZONES)), CellId(rng.u32(0..CELLS)));
-                    let line = Listed { zone, cell, started, ..Listed::serving(ServerId(server)) };
+                    let line = Endpoint { zone, cell, started, ..Endpoint::serving(ServerId(server)) };
                     lines.insert(server, line.clone());
                     news.push(line);
                 }
-                Event::List(ListUpdate::Changes(news))
+                Event::Endpoints(EndpointUpdate::Changes(news))
             }
             8..=17 if !lines.is_empty() => {
                 let mut news = Vec::new();
@@ -138,28 +139,30 @@
                     news.push(line.clone());
                 }
                 lines.retain(|_, line| line.status != Status::Gone);
-                Event::List(ListUpdate::Changes(news))
+                Event::Endpoints(EndpointUpdate::Changes(news))
             }
             18..=19 => {
                 lines.retain(|_, _| rng.u32(0..9) > 0);
-                Event::List(ListUpdate::Complete(lines.values().cloned().collect()))
+                Event::Endpoints(EndpointUpdate::Complete(lines.values().cloned().collect()))
+            }
+            20 => {
+                Event::Endpoints([EndpointUpdate::Failed, EndpointUpdate::Unusable][rng.usize(0..2)].clone())
             }
-            20 => Event::List([ListUpdate::Failed, ListUpdate::Senseless][rng.usize(0..2)].clone()),
             21..=23 => Event::Cordon { server: any(&mut rng) },
             24..=27 => Event::Uncordon {
                 server: b.cordoned.first().copied().unwrap_or_else(|| any(&mut rng)),
                 at: now,
             },
-            28 => Event::LeaveZone { zone: ZoneId(rng.u32(0..ZONES)) },
-            29..=30 => Event::ReturnZone { zone: ZoneId(rng.u32(0..ZONES)), at: now },
+            28 => Event::EvacuateZone { zone: ZoneId(rng.u32(0..ZONES)) },
+            29..=30 => Event::RestoreZone { zone: ZoneId(rng.u32(0..ZONES)), at: now },
             31 => Event::Regions((0..rng.u32(0..ZONES)).map(|z| (ZoneId(z), rng.u32(0..2))).collect()),
             32 => {
-                let mut lessons = b.lessons(now);
+                let mut lessons = b.snapshot(now);
                 lessons.servers.iter_mut().for_each(|l| (l.samples, l.suspect) = (3, rng.u32(0..9) == 0));
-                Event::Learned(lessons)
+                Event::Restore(lessons)
             }
-            33..=34 => Event::Broke { server: any(&mut rng) },
-            35 => Event::Probed {
+            33..=34 => Event::ResponseAborted { server: any(&mut rng) },
+            35 => Event::HealthChecked {
                 server: any(&mut rng),
                 outcome: [Outcome::Success, Outcome::TimedOut][rng.usize(0..2)],
                 elapsed: Span::from_ms(3.0),
@@ -226,20 +229,20 @@
 fn a_list_that_changes_nothing_changes_nothing() {
     let mut b = Balancer::new(settings(1), 1).expect("usable settings");
     let now = Time::from_ms(1000.0);
-    let line = |i: u32| Listed { zone: ZoneId(i % ZONES), ..Listed::serving(ServerId(i)) };
-    let lines: Vec<Listed> = (0..200).map(line).collect();
+    let line = |i: u32| Endpoint { zone: ZoneId(i % ZONES), ..Endpoint::serving(ServerId(i)) };
+    let lines: Vec<Endpoint> = (0..200).map(line).collect();
     let mut out = Vec::new();
-    b.handle(now, Event::List(ListUpdate::Complete(lines.clone())), &mut out);
+    b.handle(now, Event::Endpoints(EndpointUpdate::Complete(lines.clone())), &mut out);
     b.handle(
         now,
-        Event::List(ListUpdate::Changes(vec![Listed { status: Status::Gone, ..line(7) }])),
+        Event::Endpoints(EndpointUpdate::Changes(vec![Endpoint { status: Status::Gone, ..line(7) }])),
         &mut out,
     );
-    b.handle(now, Event::List(ListUpdate::Changes(vec![line(7)])), &mut out);
+    b.handle(now, Event::Endpoints(EndpointUpdate::Changes(vec![line(7)])), &mut out);
     let order = |b: &Balancer| (b.serving.all().to_vec(), b.open_in.of(ZoneId(1)).to_vec());
     let before = order(&b);
-    let shuffled: Vec<Listed> = lines.iter().rev().cloned().collect();
-    b.handle(now, Event::List(ListUpdate::Complete(shuffled)), &mut out);
-    b.handle(now, Event::List(ListUpdate::Changes(lines)), &mut out);
+    let shuffled: Vec<Endpoint> = lines.iter().rev().cloned().collect();
+    b.handle(now, Event::Endpoints(EndpointUpdate::Complete(shuffled)), &mut out);
+    b.handle(now, Event::Endpoints(EndpointUpdate::Changes(lines)), &mut out);
     assert_eq!(order(&b), before);
 }
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -5,8 +5,8 @@
 //! that class a step. Back it comes by trials, then with a quarter, a half and all of its draws, each after
 //! good answers at the step before.
 
-use crate::api::*;
 use crate::records::*;
+use crate::*;
 
 /// Answers without which there is no verdict on a zone.
 const ENOUGH: f64 = 8.0;
@@ -32,10 +32,10 @@
     /// Learns of a zone, and of the class in it, by one outcome there.
     pub(crate) fn zone_learns(&mut self, now: Time, flight: &Flight, ended: &Ended, out: &mut Vec<Action>) {
         let (s, (outcome, elapsed, _)) = (&self.servers[flight.server], ended);
-        let (zone, server, cold) = (s.listed.zone, s.listed.server, self.warmth(s, now) < 1.0);
+        let (zone, server, cold) = (s.listed.zone, s.listed.server, self.slow_start_factor(s, now) < 1.0);
         let usual = self.usual(flight.class) * s.stretch;
         let (well, whole) = (*outcome == Outcome::Success, self.settings.classes.len());
-        let lost = outcome.failure() || *outcome == Outcome::TimedOut;
+        let lost = outcome.is_failure() || *outcome == Outcome::TimedOut;
         if matches!(outcome, Outcome::ConnectFailed | Outcome::TimedOut) {
             if self.zone_mute(now, flight.server, flight.sent, out) {
                 return;
@@ -47,8 +47,8 @@
             return;
         }
         // A cold server is slow by nature, and what was lost took no time that tells anything.
-        let slow = if well && !cold { (elapsed.ms() / usual).min(2.0 * SLOWER) } else { 1.0 };
-        let in_time = *elapsed <= self.settings.classes[flight.class].aim;
+        let slow = if well && !cold { (elapsed.as_ms() / usual).min(2.0 * SLOWER) } else { 1.0 };
+        let in_time = *elapsed <= self.settings.classes[flight.class].latency_objective;
         self.zone(zone).standings[flight.class].count(server, lost, slow, slow > SLOWER, 4.0 * ENOUGH);
         for part in [flight.class, whole] {
             let seen = (well && in_time && slow <= SLOWER, lost || slow > SLOWER, flight.sent);
@@ -58,7 +58,7 @@
 
     /// Takes in that an attempt has no answer for too long; true if its zone has said nothing since either.
     pub(crate) fn zone_mute(&mut self, now: Time, server: usize, sent: Time, out: &mut Vec<Action>) -> bool {
-        let Listed { server, zone, .. } = self.servers[server].listed;
+        let Endpoint { server, zone, .. } = self.servers[server].listed;
         let whole = self.settings.classes.len();
         let of = self.zone(zone);
         if sent < of.heard_at {
@@ -128,8 +128,9 @@
     fn set_zone(&mut self, now: Time, at: Part, share: f64, why: &'static str, out: &mut Vec<Action>) {
         // The trials of all balancers together stay within what the zone's servers bear while they are cold.
         let there = self.open_in.of(at.0).len().max(1);
-        let bears =
-            (self.settings.cold_share * self.settings.overload_factor).max(0.01) * AT_ONCE * there as f64;
+        let bears = (self.settings.initial_capacity * self.settings.overload_factor).max(0.01)
+            * AT_ONCE
+            * there as f64;
         let usual = (0..self.settings.classes.len()).map(|class| self.usual(class)).fold(0.0, f64::max);
         let crowd = Span::from_ms(usual * f64::from(self.settings.balancers) / bears).min(PAUSE_MOST);
         let jitter = 0.75 + 0.5 * self.rng.f64();
@@ -198,7 +199,7 @@
             let Some(server) = self.one_of(zone, |_, _| true) else { continue };
             let it = &mut self.zone(zone).standings[whole];
             it.next = now + it.pause;
-            out.push(Action::Probe { server: self.servers[server].listed.server });
+            out.push(Action::HealthCheck { server: self.servers[server].listed.server });
         }
     }
 
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -5,7 +5,7 @@
 
 fn settings() -> Settings {
     Settings {
-        classes: vec![class(Effect::Idempotent)],
+        classes: vec![class(Idempotency::Idempotent)],
         report_fields: vec![ReportField::InFlight],
         ..Settings::default()
     }
--- a/tests/blind.rs
+++ b/tests/blind.rs
@@ -8,7 +8,7 @@
 const AIM_MS: f64 = 200.0;
 
 fn settings() -> Settings {
-    Settings { balancers: 1000, classes: vec![class(Effect::Idempotent)], ..Settings::default() }
+    Settings { balancers: 1000, classes: vec![class(Idempotency::Idempotent)], ..Settings::default() }
 }
 
 /// One request after another, each answered in `ms` by the servers that `works`; how often each was sent to.
@@ -37,7 +37,7 @@
 #[test]
 fn load_goes_by_listed_size() {
     let mut rig = Rig::new(Settings { weights: Weights::Size, ..settings() }, 1);
-    let sized = |l: Listed| Listed { weight: if l.server.0 < 10 { 3.0 } else { 1.0 }, ..l };
+    let sized = |l: Endpoint| Endpoint { weight: if l.server.0 < 10 { 3.0 } else { 1.0 }, ..l };
     rig.list(fleet(20, 1, 1).into_iter().map(sized).collect());
     let sent = serve(&mut rig, 20, 3000, 20.0, all_well);
     let (large, small) = (sent[..10].iter().sum::<u32>(), sent[10..].iter().sum::<u32>());
@@ -49,7 +49,7 @@
 #[test]
 fn load_goes_by_the_pace_of_a_kind() {
     let mut rig = Rig::new(settings(), 2);
-    let lines = fleet(100, 1, 1).into_iter().map(|l| Listed { kind: KindId(l.server.0 % 2), ..l });
+    let lines = fleet(100, 1, 1).into_iter().map(|l| Endpoint { kind: KindId(l.server.0 % 2), ..l });
     rig.list(lines.collect());
     let mut sent = [0, 0];
     for _ in 0..600 {
@@ -79,7 +79,7 @@
         let actions = rig.answer(id, 0, Outcome::Success, 20.0).to_vec();
         // What was remembered before is let go of with its next answer, so at most a few are open.
         for action in actions {
-            if let Action::CloseIdle { server } = action {
+            if let Action::CloseIdleConnections { server } = action {
                 kept.remove(&server);
             }
         }
@@ -105,7 +105,7 @@
             rig.wait(Span::from_ms(20.0));
             idle.insert(to.expect("sent"), rig.now);
             for action in rig.answer(id, 0, Outcome::Success, 20.0) {
-                if let Action::CloseIdle { server } = action {
+                if let Action::CloseIdleConnections { server } = action {
                     idle.remove(server);
                 }
             }
@@ -197,14 +197,14 @@
 /// Each of many balancers lost a request to each silent server; now a few bytes tell the others.
 #[test]
 fn hearsay_is_told_heeded_and_forgotten() {
-    let settings = Settings { peers: true, ..settings() };
+    let settings = Settings { gossip: true, ..settings() };
     let mut teller = Rig::new(settings.clone(), 6);
     teller.list(fleet(10, 1, 1));
     let (id, to) = teller.ask(0);
     teller.wait(Span::from_ms(790.0));
     let told = teller.answer(id, 0, Outcome::TimedOut, 790.0).to_vec();
     let tell = |a: &Action| match a {
-        Action::Tell { payload, .. } => Some(payload.clone()),
+        Action::Gossip { payload, .. } => Some(payload.clone()),
         _ => None,
     };
     let all: Vec<_> = told.iter().filter_map(tell).collect();
@@ -216,7 +216,7 @@
         let picks = (0..60).map(|seed| {
             let mut rig = Rig::new(settings.clone(), seed);
             rig.list(fleet(10, 1, 1));
-            rig.tell(Event::PeerMessage { from: PeerId(1), payload: all[0].clone() });
+            rig.tell(Event::Gossip { from: PeerId(1), payload: all[0].clone() });
             rig.wait(Span::from_ms(wait_ms));
             serve(&mut rig, 10, 3, 20.0, all_well)[server]
         });
@@ -229,12 +229,12 @@
 
 #[test]
 fn a_peers_nonsense_changes_nothing() {
-    let settings = Settings { peers: true, ..settings() };
+    let settings = Settings { gossip: true, ..settings() };
     let (mut plain, mut told) = (Rig::new(settings.clone(), 8), Rig::new(settings, 8));
     plain.list(fleet(10, 1, 1));
     told.list(fleet(10, 1, 1));
     for payload in [vec![], vec![1], vec![0; 300], 77_u32.to_be_bytes().to_vec()] {
-        told.tell(Event::PeerMessage { from: PeerId(9), payload });
+        told.tell(Event::Gossip { from: PeerId(9), payload });
     }
     assert_eq!(serve(&mut plain, 10, 50, 20.0, all_well), serve(&mut told, 10, 50, 20.0, all_well));
 }
@@ -275,7 +275,7 @@
 fn asking() -> Settings {
     Settings {
         probes: true,
-        report_source: ReportSource::Probes,
+        report_source: ReportSource::HealthChecks,
         report_fields: vec![ReportField::Utilisation, ReportField::InFlight],
         ..settings()
     }
@@ -283,7 +283,7 @@
 
 fn probed(rig: &Rig) -> Vec<ServerId> {
     let server = |a: &Action| match a {
-        Action::Probe { server } => Some(*server),
+        Action::HealthCheck { server } => Some(*server),
         _ => None,
     };
     rig.actions.iter().filter_map(server).collect()
@@ -292,7 +292,7 @@
 fn report(rig: &mut Rig, server: ServerId, held: f64) -> Option<ServerId> {
     let report = Some(vec![0.5, held]);
     let elapsed = Span::from_ms(1.0);
-    let actions = rig.tell(Event::Probed { server, outcome: Outcome::Success, elapsed, report });
+    let actions = rig.tell(Event::HealthChecked { server, outcome: Outcome::Success, elapsed, report });
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
         _ => None,
@@ -377,7 +377,7 @@
 fn a_cold_server_is_sent_part_of_the_overload_that_it_bears() {
     let (mut cold, mut all) = (0, 0);
     for seed in 0..20 {
-        let mut rig = Rig::new(Settings { overload_factor: 4.0, cold_share: 0.13, ..settings() }, seed);
+        let mut rig = Rig::new(Settings { overload_factor: 4.0, initial_capacity: 0.13, ..settings() }, seed);
         let mut lines = fleet(10, 1, 1);
         lines[9].started = Some(rig.now);
         rig.list(lines);
--- a/tests/cold_server_not_pushed_over.rs
+++ b/tests/cold_server_not_pushed_over.rs
@@ -5,11 +5,11 @@
 
 fn settings() -> Settings {
     Settings {
-        classes: vec![class(Effect::Idempotent)],
-        cold_share: 0.2,
-        warm_after: Span::from_ms(10_000.0),
+        classes: vec![class(Idempotency::Idempotent)],
+        initial_capacity: 0.2,
+        warm_up_time: Span::from_ms(10_000.0),
         overload_factor: 2.5,
-        fall_after: Span::from_ms(1500.0),
+        overload_window: Span::from_ms(1500.0),
         balancers: 3,
         ..Settings::default()
     }
@@ -65,7 +65,7 @@
     rig.list(lines.clone());
     load(&mut rig, 200.0, 8000.0, ServerId(5));
     lines[5].started = Some(rig.now);
-    rig.tell(Event::List(ListUpdate::Changes(vec![lines[5].clone()])));
+    rig.tell(Event::Endpoints(EndpointUpdate::Changes(vec![lines[5].clone()])));
     let (cold, all) = load(&mut rig, 200.0, 1000.0, ServerId(5));
     assert!(f64::from(cold) <= 0.5 * f64::from(all - cold) / 5.0, "{cold} of {all}");
     rig.assert_rules();
@@ -76,7 +76,7 @@
     for n in [1, 4] {
         let mut rig = Rig::new(settings(), 4);
         let start = rig.now;
-        rig.list(fleet(n, 1, 1).into_iter().map(|l| Listed { started: Some(start), ..l }).collect());
+        rig.list(fleet(n, 1, 1).into_iter().map(|l| Endpoint { started: Some(start), ..l }).collect());
         let (_, all) = load(&mut rig, 20.0, 1000.0, ServerId(0));
         assert!(all > 10, "{all} sent");
         rig.assert_rules();
@@ -88,7 +88,7 @@
 fn an_all_cold_fleet_is_paced_by_its_answers() {
     let mut rig = Rig::new(settings(), 4);
     let start = rig.now;
-    rig.list(fleet(4, 1, 1).into_iter().map(|l| Listed { started: Some(start), ..l }).collect());
+    rig.list(fleet(4, 1, 1).into_iter().map(|l| Endpoint { started: Some(start), ..l }).collect());
     let mut sent = 0;
     for _ in 0..200 {
         sent += u32::from(rig.ask(0).1.is_some());
@@ -103,7 +103,7 @@
     let mut balancer = Balancer::new(settings, 1).unwrap();
     let mut actions = Vec::new();
     balancer.start(Time(0), &mut actions);
-    balancer.handle(Time(1), Event::List(ListUpdate::Complete(fleet(2, 1, 1))), &mut actions);
+    balancer.handle(Time(1), Event::Endpoints(EndpointUpdate::Complete(fleet(2, 1, 1))), &mut actions);
     for i in 0..4 {
         let request = Request::new(RequestId(i), ClassId(0), Span::from_ms(800.0));
         balancer.handle(Time(2), Event::Request(request), &mut actions);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -32,7 +32,7 @@
 pub struct Observer {
     settings: Settings,
     requests: BTreeMap<RequestId, Seen>,
-    servers: BTreeMap<ServerId, Listed>,
+    servers: BTreeMap<ServerId, Endpoint>,
     leaving: BTreeMap<ServerId, Time>,
     cordoned: BTreeMap<ServerId, Time>,
     returned: BTreeMap<ServerId, Time>,
@@ -59,7 +59,7 @@
     }
 
     fn fault(&mut self, now: Time, text: String) {
-        self.faults.push(format!("{:.3} ms: {text}", now.ms()));
+        self.faults.push(format!("{:.3} ms: {text}", now.as_ms()));
     }
 
     pub fn event(&mut self, now: Time, event: &Event) {
@@ -67,7 +67,7 @@
             Event::Request(r) => {
                 let seen = Seen {
                     class: r.class.0,
-                    work: r.cost_hint.map_or(1.0, |h| h.ms() / 40.0),
+                    work: r.cost_hint.map_or(1.0, |h| h.as_ms() / 40.0),
                     deadline: now + r.time_left,
                     tries: Vec::new(),
                     over: false,
@@ -90,26 +90,26 @@
                     seen.bound = true;
                 }
             }
-            Event::Uploaded { request, time_left } => {
+            Event::BodyComplete { request, time_left } => {
                 if let Some(seen) = self.requests.get_mut(request) {
                     (seen.uploading, seen.deadline) = (false, now + *time_left);
                 }
             }
-            Event::Spent { request } => {
+            Event::BodyConsumed { request } => {
                 if let Some(seen) = self.requests.get_mut(request) {
                     seen.spent = true;
                 }
             }
-            Event::ClientGone { request } => {
+            Event::ClientDisconnected { request } => {
                 if let Some(seen) = self.requests.get_mut(request) {
                     seen.over = true;
                 }
             }
-            Event::List(update) => {
+            Event::Endpoints(update) => {
                 let (lines, whole) = match update {
-                    ListUpdate::Part(lines) | ListUpdate::Changes(lines) => (lines, false),
-                    ListUpdate::Complete(lines) | ListUpdate::Saved(lines) => (lines, true),
-                    ListUpdate::Failed | ListUpdate::Senseless => return,
+                    EndpointUpdate::Partial(lines) | EndpointUpdate::Changes(lines) => (lines, false),
+                    EndpointUpdate::Complete(lines) | EndpointUpdate::Saved(lines) => (lines, true),
+                    EndpointUpdate::Failed | EndpointUpdate::Unusable => return,
                 };
                 let named: BTreeSet<ServerId> = lines.iter().map(|l| l.server).collect();
                 if whole {
@@ -146,24 +146,24 @@
 
     /// The servers a request that may have run must stay with; `None` if it may not go out at all.
     fn place_for(&self, seen: &Seen, now: Time) -> Option<(Option<ZoneId>, Option<CellId>)> {
-        let ran = seen.tries.iter().find(|t| t.ended.is_none_or(|o| !o.never_ran()));
+        let ran = seen.tries.iter().find(|t| t.ended.is_none_or(|o| !o.is_not_executed()));
         let Some(ran) = ran else { return Some((None, None)) };
-        match self.settings.classes[seen.class].effect {
-            Effect::Idempotent => Some((None, None)),
-            Effect::AtMostOnce => None,
-            Effect::Deduplicated { window, .. } if now.since(ran.at) > window => None,
-            Effect::Deduplicated { group: Group::All, .. } => Some((None, None)),
-            Effect::Deduplicated { group: Group::Zone, .. } => Some((Some(ran.zone), None)),
-            Effect::Deduplicated { group: Group::Cell, .. } => Some((None, Some(ran.cell))),
+        match self.settings.classes[seen.class].idempotency {
+            Idempotency::Idempotent => Some((None, None)),
+            Idempotency::AtMostOnce => None,
+            Idempotency::Deduplicated { window, .. } if now.since(ran.at) > window => None,
+            Idempotency::Deduplicated { scope: DeduplicationScope::All, .. } => Some((None, None)),
+            Idempotency::Deduplicated { scope: DeduplicationScope::Zone, .. } => Some((Some(ran.zone), None)),
+            Idempotency::Deduplicated { scope: DeduplicationScope::Cell, .. } => Some((None, Some(ran.cell))),
         }
     }
 
     fn may_refuse(&self, seen: &Seen) -> bool {
-        let ran = seen.tries.iter().any(|t| t.ended.is_none_or(|o| !o.never_ran()));
-        match self.settings.classes[seen.class].effect {
-            Effect::Idempotent => true,
-            Effect::AtMostOnce => !ran,
-            Effect::Deduplicated { group, .. } => !ran || group == Group::All,
+        let ran = seen.tries.iter().any(|t| t.ended.is_none_or(|o| !o.is_not_executed()));
+        match self.settings.classes[seen.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::AtMostOnce => !ran,
+            Idempotency::Deduplicated { scope, .. } => !ran || scope == DeduplicationScope::All,
         }
     }
 
@@ -188,7 +188,7 @@
                 if seen.tries.len() >= self.settings.max_attempts as usize {
                     wrong.push("sent beyond the attempts allowed");
                 }
-                if out && !self.settings.second_copies {
+                if out && !self.settings.hedging {
                     wrong.push("two attempts at once");
                 }
                 if seen.spent {
@@ -201,7 +201,7 @@
                     None => wrong.push("may have run and must not go out again"),
                     Some((zone, cell)) => {
                         if zone.is_some_and(|z| z != line.zone) || cell.is_some_and(|c| c != line.cell) {
-                            wrong.push("repeated outside the group that drops repeats");
+                            wrong.push("repeated outside the scope that drops repeats");
                         }
                     }
                 }
@@ -219,14 +219,14 @@
                 self.sends.push_back((now, *server, work));
                 self.cold(now, *server);
             }
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 if self.requests.get(request).is_some_and(|seen| !self.may_refuse(seen)) {
                     self.fault(now, format!("{request:?}: refused though it may have run"));
                 }
                 self.finish(now, *request);
             }
             Action::Fail { request } => self.finish(now, *request),
-            Action::Probe { server } if self.cordoned.get(server).is_some_and(|at| now > *at) => {
+            Action::HealthCheck { server } if self.cordoned.get(server).is_some_and(|at| now > *at) => {
                 self.fault(now, format!("probed {server:?}, which is cordoned"));
             }
             _ => {}
@@ -250,21 +250,21 @@
     /// Holds this balancer's sends to a cold server against what it sends to the warm ones: its share, times
     /// the site's factor, with room for a few requests of chance.
     fn cold(&mut self, now: Time, server: ServerId) {
-        let window = self.settings.fall_after;
+        let window = self.settings.overload_window;
         while self.sends.front().is_some_and(|(at, ..)| *at + window < now) {
             self.sends.pop_front();
         }
-        let warmth = |line: &Listed| {
+        let slow_start_factor = |line: &Endpoint| {
             line.started.max(self.returned.get(&line.server).copied()).map_or(1.0, |s| {
-                let grown = (now.since(s).ms() / self.settings.warm_after.ms()).min(1.0);
-                self.settings.cold_share + (1.0 - self.settings.cold_share) * grown
+                let grown = (now.since(s).as_ms() / self.settings.warm_up_time.as_ms()).min(1.0);
+                self.settings.initial_capacity + (1.0 - self.settings.initial_capacity) * grown
             })
         };
-        let own = warmth(&self.servers[&server]);
+        let own = slow_start_factor(&self.servers[&server]);
         let warm: BTreeSet<ServerId> = self
             .servers
             .values()
-            .filter(|l| l.status == Status::Serving && warmth(l) >= 1.0)
+            .filter(|l| l.status == Status::Serving && slow_start_factor(l) >= 1.0)
             .map(|l| l.server)
             .collect();
         if warm != self.warm {
@@ -357,8 +357,8 @@
         all
     }
 
-    pub fn list(&mut self, lines: Vec<Listed>) {
-        self.tell(Event::List(ListUpdate::Complete(lines)));
+    pub fn list(&mut self, lines: Vec<Endpoint>) {
+        self.tell(Event::Endpoints(EndpointUpdate::Complete(lines)));
     }
 
     /// A new request of a class; the server it was sent to, if it was.
@@ -431,7 +431,7 @@
 }
 
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
@@ -439,16 +439,25 @@
 }
 
 /// `n` warm servers, server `i` in zone `i % zones` and cell `i % cells`.
-pub fn fleet(n: u32, zones: u32, cells: u32) -> Vec<Listed> {
+pub fn fleet(n: u32, zones: u32, cells: u32) -> Vec<Endpoint> {
     (0..n)
-        .map(|i| Listed { zone: ZoneId(i % zones), cell: CellId(i % cells), ..Listed::serving(ServerId(i)) })
+        .map(|i| Endpoint {
+            zone: ZoneId(i % zones),
+            cell: CellId(i % cells),
+            ..Endpoint::serving(ServerId(i))
+        })
         .collect()
 }
 
-pub fn class(effect: Effect) -> Class {
-    Class { effect, aim: Span::from_ms(200.0), deadline: Span::from_ms(800.0), ..Class::default() }
+pub fn class(idempotency: Idempotency) -> Class {
+    Class {
+        idempotency,
+        latency_objective: Span::from_ms(200.0),
+        deadline: Span::from_ms(800.0),
+        ..Class::default()
+    }
 }
 
-pub fn keyed(group: Group, window_ms: f64) -> Effect {
-    Effect::Deduplicated { group, window: Span::from_ms(window_ms) }
+pub fn keyed(scope: DeduplicationScope, window_ms: f64) -> Idempotency {
+    Idempotency::Deduplicated { scope, window: Span::from_ms(window_ms) }
 }
--- a/tests/cordon.rs
+++ b/tests/cordon.rs
@@ -6,7 +6,7 @@
 const SERVER: ServerId = ServerId(2);
 
 fn rig(seed: u64) -> Rig {
-    let settings = Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() };
+    let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut rig = Rig::new(settings, seed);
     rig.list(fleet(4, 1, 1));
     rig
@@ -35,18 +35,20 @@
 fn a_cordoned_server_gets_nothing_whatever_the_list_says() {
     let mut rig = rig(5);
     assert!(serve(&mut rig, 100, |_| Outcome::Success) > 5, "used before");
-    assert!(rig.tell(Event::Cordon { server: SERVER }).contains(&Action::CloseIdle { server: SERVER }));
+    assert!(rig
+        .tell(Event::Cordon { server: SERVER })
+        .contains(&Action::CloseIdleConnections { server: SERVER }));
     rig.wait(Span::from_ms(1.0));
-    assert_eq!(rig.balancer.fleet(rig.now), Fleet { listed: 4, avoided: 1 });
+    assert_eq!(rig.balancer.endpoint_counts(rig.now), EndpointCounts { listed: 4, avoided: 1 });
     let lines = fleet(4, 1, 1);
     let line = lines[SERVER.0 as usize].clone();
-    let change = |line: Listed| Event::List(ListUpdate::Changes(vec![line]));
-    let restarted = Listed { started: Some(rig.now), ..line.clone() };
+    let change = |line: Endpoint| Event::Endpoints(EndpointUpdate::Changes(vec![line]));
+    let restarted = Endpoint { started: Some(rig.now), ..line.clone() };
     let news = [
         change(line.clone()),
-        change(Listed { status: Status::Gone, ..line.clone() }),
-        Event::List(ListUpdate::Complete(lines[..2].to_vec())),
-        Event::List(ListUpdate::Complete(lines.clone())),
+        change(Endpoint { status: Status::Gone, ..line.clone() }),
+        Event::Endpoints(EndpointUpdate::Complete(lines[..2].to_vec())),
+        Event::Endpoints(EndpointUpdate::Complete(lines.clone())),
         change(restarted),
         Event::Cordon { server: SERVER },
     ];
@@ -69,9 +71,9 @@
     let server = ServerId(9);
     rig.tell(Event::Cordon { server });
     rig.wait(Span::from_ms(1.0));
-    rig.tell(Event::List(ListUpdate::Changes(vec![Listed::serving(server)])));
+    rig.tell(Event::Endpoints(EndpointUpdate::Changes(vec![Endpoint::serving(server)])));
     serve(&mut rig, 100, |_| Outcome::Success);
-    assert_eq!(rig.balancer.fleet(rig.now), Fleet { listed: 5, avoided: 1 });
+    assert_eq!(rig.balancer.endpoint_counts(rig.now), EndpointCounts { listed: 5, avoided: 1 });
 }
 
 /// Probes, too, where the candidates are asked for their load, and where the cordon comes while they are asked.
@@ -80,21 +82,22 @@
     let settings = Settings {
         balancers: 40,
         probes: true,
-        report_source: ReportSource::Probes,
+        report_source: ReportSource::HealthChecks,
         report_fields: vec![ReportField::InFlight],
-        classes: vec![class(Effect::Idempotent)],
+        classes: vec![class(Idempotency::Idempotent)],
         ..Settings::default()
     };
     let mut rig = Rig::new(settings, 5);
     rig.list(fleet(2, 1, 1));
     let (id, _) = rig.ask(0);
-    let probed: Vec<_> = rig.actions.iter().filter(|a| matches!(a, Action::Probe { .. })).cloned().collect();
+    let probed: Vec<_> =
+        rig.actions.iter().filter(|a| matches!(a, Action::HealthCheck { .. })).cloned().collect();
     assert_eq!(probed.len(), 2, "{probed:?}");
     rig.tell(Event::Cordon { server: ServerId(0) });
     rig.wait(Span::from_ms(1.0));
     for (server, load) in [(ServerId(0), 0.0), (ServerId(1), 5.0)] {
         let (outcome, elapsed) = (Outcome::Success, Span::from_ms(1.0));
-        rig.tell(Event::Probed { server, outcome, elapsed, report: Some(vec![load]) });
+        rig.tell(Event::HealthChecked { server, outcome, elapsed, report: Some(vec![load]) });
     }
     assert_eq!(rig.sent_to(id), Some(ServerId(1)));
     for _ in 0..50 {
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -12,11 +12,11 @@
 const MOST: u32 = 8;
 const ZONES: u32 = 32;
 
-fn line(i: u32) -> Listed {
-    Listed { zone: ZoneId(i % ZONES), cell: CellId(i / 4), ..Listed::serving(ServerId(i)) }
+fn line(i: u32) -> Endpoint {
+    Endpoint { zone: ZoneId(i % ZONES), cell: CellId(i / 4), ..Endpoint::serving(ServerId(i)) }
 }
 
-struct Fleet {
+struct EndpointCounts {
     balancer: Balancer,
     servers: u32,
     now: Time,
@@ -24,12 +24,12 @@
     out: Vec<Action>,
 }
 
-impl Fleet {
+impl EndpointCounts {
     fn new(servers: u32, class: Class) -> Self {
         let settings = Settings { balancers: 4, classes: vec![class], ..Settings::default() };
         let (balancer, now) = (Balancer::new(settings, 7).expect("usable settings"), Time::from_ms(1e6));
-        let mut fleet = Fleet { balancer, servers, now, next: 0, out: Vec::new() };
-        fleet.tell(Event::List(ListUpdate::Complete((0..servers).map(line).collect())));
+        let mut fleet = EndpointCounts { balancer, servers, now, next: 0, out: Vec::new() };
+        fleet.tell(Event::Endpoints(EndpointUpdate::Complete((0..servers).map(line).collect())));
         fleet
     }
 
@@ -67,8 +67,13 @@
 }
 
 /// The least cost in a small fleet and in a large one, measured in turn.
-fn compare(what: &str, class: Class, prepare: fn(&mut Fleet), cost: fn(&mut Fleet) -> Duration) {
-    let mut fleets = [FEW, MANY].map(|servers| Fleet::new(servers, class.clone()));
+fn compare(
+    what: &str,
+    class: Class,
+    prepare: fn(&mut EndpointCounts),
+    cost: fn(&mut EndpointCounts) -> Duration,
+) {
+    let mut fleets = [FEW, MANY].map(|servers| EndpointCounts::new(servers, class.clone()));
     fleets.iter_mut().for_each(prepare);
     let mut least = [Duration::MAX; 2];
     for _ in 0..200 {
@@ -82,7 +87,7 @@
 }
 
 /// Half of the servers have answered.
-fn in_use(fleet: &mut Fleet) {
+fn in_use(fleet: &mut EndpointCounts) {
     for _ in 0..fleet.servers {
         fleet.ask();
         fleet.answer(Outcome::Success);
@@ -92,13 +97,13 @@
 
 #[test]
 fn an_idle_tick_costs_the_same_in_a_large_fleet() {
-    compare("an idle tick", class(Effect::Idempotent), in_use, Fleet::tick);
+    compare("an idle tick", class(Idempotency::Idempotent), in_use, EndpointCounts::tick);
 }
 
 #[test]
 fn a_change_of_one_server_costs_the_same_in_a_large_fleet() {
-    compare("a change", class(Effect::Idempotent), in_use, |fleet| {
-        let news = |status| Event::List(ListUpdate::Changes(vec![Listed { status, ..line(77) }]));
+    compare("a change", class(Idempotency::Idempotent), in_use, |fleet| {
+        let news = |status| Event::Endpoints(EndpointUpdate::Changes(vec![Endpoint { status, ..line(77) }]));
         fleet.tell(news(Status::Draining))
             + fleet.tell(news(Status::Gone))
             + fleet.tell(news(Status::Serving))
@@ -107,7 +112,7 @@
 
 #[test]
 fn a_cordon_costs_the_same_in_a_large_fleet() {
-    compare("a cordon", class(Effect::Idempotent), in_use, |fleet| {
+    compare("a cordon", class(Idempotency::Idempotent), in_use, |fleet| {
         let (server, at) = (ServerId(78), fleet.now);
         fleet.tell(Event::Cordon { server }) + fleet.tell(Event::Uncordon { server, at })
     });
@@ -115,7 +120,7 @@
 
 #[test]
 fn a_request_and_its_answer_cost_the_same_in_a_large_fleet() {
-    compare("a request", class(Effect::Idempotent), in_use, |fleet| {
+    compare("a request", class(Idempotency::Idempotent), in_use, |fleet| {
         let pick = fleet.ask();
         pick + fleet.answer(Outcome::Success) + fleet.tick()
     });
@@ -123,7 +128,7 @@
 
 #[test]
 fn a_suspicion_costs_the_same_in_a_large_fleet() {
-    compare("a suspicion", class(Effect::Idempotent), in_use, |fleet| {
+    compare("a suspicion", class(Idempotency::Idempotent), in_use, |fleet| {
         // Where all fails, a failure is no evidence against one server.
         for _ in 0..60 {
             fleet.ask();
@@ -134,7 +139,7 @@
         fleet.answer(Outcome::Success);
         let (mut cost, mut suspect) = (Duration::ZERO, false);
         for _ in 0..4 {
-            cost += fleet.tell(Event::Broke { server });
+            cost += fleet.tell(Event::ResponseAborted { server });
             suspect |= fleet.out.iter().any(|a| matches!(a, Action::Log { .. }));
         }
         assert!(suspect, "it was not made suspect");
@@ -148,7 +153,7 @@
 /// Of servers that are all full, a pick looks at some, and not at all, before the request waits.
 #[test]
 fn a_request_that_finds_all_servers_full_costs_the_same_in_a_large_fleet() {
-    let fill = |fleet: &mut Fleet| {
+    let fill = |fleet: &mut EndpointCounts| {
         // Two attempts fill a server whose limit has not grown.
         for _ in 0..3 * fleet.servers {
             fleet.ask();
@@ -157,14 +162,14 @@
         assert!(fleet.sent_to().is_none(), "there is still room");
     };
     let long = Span::from_ms(5000.0);
-    let class = Class { aim: long, deadline: long, ..class(Effect::Idempotent) };
-    compare("a request with all full", class, fill, Fleet::ask);
+    let class = Class { latency_objective: long, deadline: long, ..class(Idempotency::Idempotent) };
+    compare("a request with all full", class, fill, EndpointCounts::ask);
 }
 
 /// A repeat that only its cell may be sent finds the cell's servers among all others, at the same cost.
 #[test]
 fn a_repeat_finds_its_cell_in_a_large_fleet_at_the_same_cost() {
-    let class = class(keyed(Group::Cell, 10_000.0));
+    let class = class(keyed(DeduplicationScope::Cell, 10_000.0));
     compare("a repeat in its cell", class, in_use, |fleet| {
         // Further attempts are earned by requests.
         for _ in 0..10 {
--- a/tests/crowd_at_discovery.rs
+++ b/tests/crowd_at_discovery.rs
@@ -10,23 +10,23 @@
 fn rigs() -> Vec<Rig> {
     let settings = Settings {
         balancers: BALANCERS,
-        discovery: Discovery::OnRequest,
-        classes: vec![class(Effect::Idempotent)],
+        discovery: Discovery::Polled,
+        classes: vec![class(Idempotency::Idempotent)],
         ..Settings::default()
     };
     (0..u64::from(BALANCERS)).map(|seed| Rig::new(settings.clone(), seed)).collect()
 }
 
 fn calls(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Follow { active: true } | Action::FetchList)).count()
+    actions.iter().filter(|a| matches!(a, Action::Watch { active: true } | Action::FetchEndpoints)).count()
 }
 
 /// All ended in a release and started again: their calls at one time left none of them served for ten seconds.
 #[test]
 fn balancers_that_start_together_do_not_ask_together() {
     let mut rigs = rigs();
-    let at_once: usize = rigs.iter().map(|rig| calls(&rig.actions)).sum();
-    assert!(at_once <= 5, "{at_once} calls at the start");
+    let max_concurrent_requests: usize = rigs.iter().map(|rig| calls(&rig.actions)).sum();
+    assert!(max_concurrent_requests <= 5, "{max_concurrent_requests} calls at the start");
     let slice = Span::from_ms(500.0);
     let counts: Vec<usize> =
         (0..20).map(|_| rigs.iter_mut().map(|rig| calls(&rig.wait(slice))).sum()).collect();
@@ -43,7 +43,7 @@
     let mut rigs = rigs();
     let mut failed: Vec<Option<Time>> = vec![None; rigs.len()];
     for (rig, failed) in rigs.iter_mut().zip(&mut failed).filter(|(rig, _)| calls(&rig.actions) > 0) {
-        rig.tell(Event::List(ListUpdate::Failed));
+        rig.tell(Event::Endpoints(EndpointUpdate::Failed));
         *failed = Some(rig.now);
     }
     let slice = Span::from_ms(500.0);
@@ -54,7 +54,7 @@
             let asked = calls(&rig.wait(slice));
             all += asked;
             if asked > 0 {
-                rig.tell(Event::List(ListUpdate::Failed));
+                rig.tell(Event::Endpoints(EndpointUpdate::Failed));
                 *failed = Some(rig.now);
             }
             let silent = failed.map_or(Span::ZERO, |at| rig.now.since(at));
@@ -73,8 +73,8 @@
 fn a_small_fleet_asks_at_once() {
     let settings = Settings {
         balancers: 5,
-        discovery: Discovery::OnRequest,
-        classes: vec![class(Effect::Idempotent)],
+        discovery: Discovery::Polled,
+        classes: vec![class(Idempotency::Idempotent)],
         ..Settings::default()
     };
     assert_eq!(calls(&Rig::new(settings, 1).actions), 1);
@@ -85,10 +85,10 @@
 #[test]
 fn a_broken_watch_for_pushed_news_is_opened_anew_at_once() {
     let settings =
-        Settings { balancers: 300, classes: vec![class(Effect::Idempotent)], ..Settings::default() };
+        Settings { balancers: 300, classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut rig = Rig::new(settings, 2);
     for _ in 0..20 {
-        rig.tell(Event::List(ListUpdate::Failed));
+        rig.tell(Event::Endpoints(EndpointUpdate::Failed));
         assert_eq!(calls(&rig.wait(Span::from_ms(390.0))), 1);
     }
 }
@@ -97,24 +97,24 @@
 /// entries of an answer that then comes to nothing do not shorten them. One that ends as it should does.
 #[test]
 fn answers_of_no_use_are_asked_for_less_and_less() {
-    let settings = Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() };
-    let most = settings.ask_within;
+    let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
+    let most = settings.max_poll_interval;
     let mut rig = Rig::new(settings, 3);
     let pause = |rig: &mut Rig| {
-        rig.tell(Event::List(ListUpdate::Part(vec![Listed::serving(ServerId(1))])));
-        rig.tell(Event::List(ListUpdate::Senseless));
+        rig.tell(Event::Endpoints(EndpointUpdate::Partial(vec![Endpoint::serving(ServerId(1))])));
+        rig.tell(Event::Endpoints(EndpointUpdate::Unusable));
         let (from, tick) = (rig.now, Span::from_ms(50.0));
         while calls(&rig.wait(tick)) == 0 {
             assert!(rig.now.since(from) <= most * 2.0, "it is never asked again");
         }
-        rig.now.since(from).ms()
+        rig.now.since(from).as_ms()
     };
     let pauses: Vec<f64> = (0..12).map(|_| pause(&mut rig)).collect();
     // Each is spread over a half to one and a half of what it is on the mean, and seen to a tick or two.
     for (doubled, is) in pauses.iter().enumerate() {
-        let mean = (200.0 * 2f64.powi(doubled as i32)).min(most.ms());
+        let mean = (200.0 * 2f64.powi(doubled as i32)).min(most.as_ms());
         assert!((0.5 * mean..=1.5 * mean + 100.0).contains(is), "pause {doubled} of {pauses:?}");
     }
-    rig.tell(Event::List(ListUpdate::Changes(Vec::new())));
+    rig.tell(Event::Endpoints(EndpointUpdate::Changes(Vec::new())));
     assert!(pause(&mut rig) <= 400.0, "the pauses begin anew");
 }
--- a/tests/drains_kept.rs
+++ b/tests/drains_kept.rs
@@ -3,11 +3,11 @@
 use balancer::*;
 use common::*;
 
-fn drained(update: impl Fn(Vec<Listed>) -> ListUpdate) {
-    let settings = Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() };
+fn drained(update: impl Fn(Vec<Endpoint>) -> EndpointUpdate) {
+    let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut rig = Rig::new(settings, 2);
     rig.list(fleet(2, 1, 1));
-    rig.tell(Event::List(update(fleet(2, 1, 1))));
+    rig.tell(Event::Endpoints(update(fleet(2, 1, 1))));
     for _ in 0..50 {
         let (id, sent) = rig.ask(0);
         assert_eq!(sent, Some(ServerId(1)));
@@ -20,41 +20,41 @@
 #[test]
 fn draining_and_gone_by_change() {
     for status in [Status::Draining, Status::Gone] {
-        drained(|lines| ListUpdate::Changes(vec![Listed { status, ..lines[0].clone() }]));
+        drained(|lines| EndpointUpdate::Changes(vec![Endpoint { status, ..lines[0].clone() }]));
     }
 }
 
 #[test]
 fn left_out_of_a_complete_list() {
-    drained(|lines| ListUpdate::Complete(lines[1..].to_vec()));
+    drained(|lines| EndpointUpdate::Complete(lines[1..].to_vec()));
 }
 
 #[test]
 fn the_last_of_two_lines_for_a_server_counts() {
     drained(|lines| {
-        let gone = Listed { status: Status::Draining, ..lines[0].clone() };
-        ListUpdate::Complete(vec![lines[0].clone(), lines[1].clone(), gone])
+        let gone = Endpoint { status: Status::Draining, ..lines[0].clone() };
+        EndpointUpdate::Complete(vec![lines[0].clone(), lines[1].clone(), gone])
     });
 }
 
 #[test]
 fn a_failed_call_for_the_list_is_repeated_and_the_old_list_stands() {
     let settings = Settings {
-        discovery: Discovery::OnRequest,
-        classes: vec![class(Effect::Idempotent)],
+        discovery: Discovery::Polled,
+        classes: vec![class(Idempotency::Idempotent)],
         ..Settings::default()
     };
     let mut rig = Rig::new(settings, 2);
-    assert!(rig.actions.contains(&Action::Follow { active: true }), "followed from the start");
+    assert!(rig.actions.contains(&Action::Watch { active: true }), "followed from the start");
     rig.list(fleet(2, 1, 1));
     let mut asked = 0;
     for _ in 0..5 {
-        rig.tell(Event::List(ListUpdate::Failed));
+        rig.tell(Event::Endpoints(EndpointUpdate::Failed));
         let (id, sent) = rig.ask(0);
         assert!(sent.is_some());
         rig.answer(id, 0, Outcome::Success, 10.0);
         let actions = rig.wait(Span::from_ms(5000.0));
-        asked += actions.iter().filter(|a| **a == Action::Follow { active: true }).count();
+        asked += actions.iter().filter(|a| **a == Action::Watch { active: true }).count();
     }
     assert_eq!(asked, 5, "one more call after each failure, within half of what the site asks");
     rig.assert_rules();
--- a/tests/gone_servers_are_forgotten.rs
+++ b/tests/gone_servers_are_forgotten.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_fleet_that_is_replaced_again_and_again_leaves_nothing_behind() {
     const SERVERS: u32 = 500;
-    let settings = Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() };
+    let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut balancer = Balancer::new(settings, 1).expect("usable settings");
     let mut now = Time::from_ms(1000.0);
     let mut out = Vec::new();
@@ -22,8 +22,8 @@
     let mut replace = |from: u32, to: u32| {
         for round in from..to {
             let names = round * SERVERS..(round + 1) * SERVERS;
-            let lines = names.clone().map(|i| Listed::serving(ServerId(i))).collect();
-            balancer.handle(now, Event::List(ListUpdate::Complete(lines)), &mut out);
+            let lines = names.clone().map(|i| Endpoint::serving(ServerId(i))).collect();
+            balancer.handle(now, Event::Endpoints(EndpointUpdate::Complete(lines)), &mut out);
             for _ in 0..20 {
                 (now, request) = (now + Span::from_ms(60.0), request + 1);
                 out.clear();
@@ -43,7 +43,7 @@
                 now = now + Span::from_ms(50.0);
                 balancer.handle(now, Event::Timer(TimerId(0)), &mut out);
             }
-            assert_eq!(balancer.views(now).len(), SERVERS as usize);
+            assert_eq!(balancer.server_views(now).len(), SERVERS as usize);
         }
     };
     replace(0, 20);
--- a/tests/list_in_parts.rs
+++ b/tests/list_in_parts.rs
@@ -6,7 +6,7 @@
 use common::{class, fleet, Rig};
 
 fn rig() -> Rig {
-    let settings = Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() };
+    let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut rig = Rig::new(settings, 4);
     rig.list(fleet(9, 3, 3));
     rig
@@ -20,21 +20,25 @@
         line.status = status;
     }
     let mut whole = rig();
-    whole.tell(Event::List(ListUpdate::Changes(lines.clone())));
+    whole.tell(Event::Endpoints(EndpointUpdate::Changes(lines.clone())));
     for size in [1, 2, 5, 11] {
         let mut parts = rig();
         for part in lines.chunks(size) {
-            parts.tell(Event::List(ListUpdate::Part(part.to_vec())));
+            parts.tell(Event::Endpoints(EndpointUpdate::Partial(part.to_vec())));
         }
-        assert_eq!(parts.balancer.views(parts.now), whole.balancer.views(whole.now), "parts of {size}");
-        let before = parts.balancer.fleet(parts.now);
-        parts.tell(Event::List(ListUpdate::Changes(Vec::new())));
-        assert_eq!(parts.balancer.fleet(parts.now), before, "its end adds nothing");
+        assert_eq!(
+            parts.balancer.server_views(parts.now),
+            whole.balancer.server_views(whole.now),
+            "parts of {size}"
+        );
+        let before = parts.balancer.endpoint_counts(parts.now);
+        parts.tell(Event::Endpoints(EndpointUpdate::Changes(Vec::new())));
+        assert_eq!(parts.balancer.endpoint_counts(parts.now), before, "its end adds nothing");
     }
     // What drains by a part gets nothing more, whatever becomes of the rest.
     let mut torn = rig();
-    torn.tell(Event::List(ListUpdate::Part(lines[..1].to_vec())));
-    torn.tell(Event::List(ListUpdate::Senseless));
+    torn.tell(Event::Endpoints(EndpointUpdate::Partial(lines[..1].to_vec())));
+    torn.tell(Event::Endpoints(EndpointUpdate::Unusable));
     for _ in 0..50 {
         assert_ne!(torn.ask(0).1, Some(lines[0].server));
     }
--- a/tests/memory_does_not_grow.rs
+++ b/tests/memory_does_not_grow.rs
@@ -12,12 +12,12 @@
 #[test]
 fn many_requests_leave_nothing_behind() {
     let settings =
-        Settings { classes: vec![class(Effect::Idempotent)], warm_keys: true, ..Settings::default() };
+        Settings { classes: vec![class(Idempotency::Idempotent)], key_affinity: true, ..Settings::default() };
     let mut balancer = Balancer::new(settings, 1).unwrap();
     let mut actions = Vec::new();
     let mut now = Time::from_ms(1000.0);
     balancer.start(now, &mut actions);
-    balancer.handle(now, Event::List(ListUpdate::Complete(fleet(6, 2, 2))), &mut actions);
+    balancer.handle(now, Event::Endpoints(EndpointUpdate::Complete(fleet(6, 2, 2))), &mut actions);
     let mut serve = |from: u64, count: u64| {
         for id in from..from + count {
             now = now + Span::from_ms(5.0);
--- a/tests/near.rs
+++ b/tests/near.rs
@@ -10,7 +10,7 @@
     let prices = Prices { cross_zone, ..Prices::default() };
     let classes = vec![Class::default()];
     let mut rig = Rig::new(Settings { classes, prices, balancers: 3, ..Settings::default() }, seed);
-    let line = |n: u32| Listed { zone: ZoneId(n % 4), ..Listed::serving(ServerId(n)) };
+    let line = |n: u32| Endpoint { zone: ZoneId(n % 4), ..Endpoint::serving(ServerId(n)) };
     rig.list((0..20).map(line).collect());
     rig
 }
@@ -94,8 +94,8 @@
 /// and after that its servers are cold for as long as after a start.
 #[test]
 fn a_zone_that_was_left_gets_nothing_and_comes_back_slowly() {
-    let settings = Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() };
-    let warm_after = settings.warm_after;
+    let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
+    let warm_up_time = settings.warm_up_time;
     let mut rig = Rig::new(settings, 4);
     rig.list(fleet(8, 2, 1));
     let there = |rig: &mut Rig| {
@@ -104,15 +104,20 @@
     };
     assert!(there(&mut rig) > 20);
     let zone = ZoneId(1);
-    rig.tell(Event::LeaveZone { zone });
-    rig.tell(Event::LeaveZone { zone });
-    rig.tell(Event::List(ListUpdate::Changes(vec![Listed { zone, ..Listed::serving(ServerId(9)) }])));
+    rig.tell(Event::EvacuateZone { zone });
+    rig.tell(Event::EvacuateZone { zone });
+    rig.tell(Event::Endpoints(EndpointUpdate::Changes(vec![Endpoint {
+        zone,
+        ..Endpoint::serving(ServerId(9))
+    }])));
     assert_eq!(there(&mut rig), 0);
     let at = rig.now;
-    rig.tell(Event::ReturnZone { zone, at });
-    let cold = |rig: &Rig| rig.balancer.views(rig.now).iter().filter(|view| view.warmth < 1.0).count();
+    rig.tell(Event::RestoreZone { zone, at });
+    let cold = |rig: &Rig| {
+        rig.balancer.server_views(rig.now).iter().filter(|view| view.slow_start_factor < 1.0).count()
+    };
     assert_eq!(cold(&rig), 5);
-    rig.wait(warm_after);
+    rig.wait(warm_up_time);
     rig.wait(Span::from_ms(1.0));
     assert_eq!(cold(&rig), 0);
     assert!(there(&mut rig) > 20);
--- a/tests/no_doubled_effect.rs
+++ b/tests/no_doubled_effect.rs
@@ -17,19 +17,19 @@
 #[test]
 fn what_may_follow_a_first_attempt() {
     let effects = [
-        Effect::Idempotent,
-        Effect::AtMostOnce,
-        keyed(Group::All, 100.0),
-        keyed(Group::Zone, 100.0),
-        keyed(Group::Cell, 100.0),
+        Idempotency::Idempotent,
+        Idempotency::AtMostOnce,
+        keyed(DeduplicationScope::All, 100.0),
+        keyed(DeduplicationScope::Zone, 100.0),
+        keyed(DeduplicationScope::Cell, 100.0),
     ];
     for copies in [false, true] {
-        for effect in effects {
+        for idempotency in effects {
             for outcome in OUTCOMES {
                 for ms in [5.0, 120.0] {
                     let settings = Settings {
-                        classes: vec![class(effect)],
-                        second_copies: copies,
+                        classes: vec![class(idempotency)],
+                        hedging: copies,
                         ..Settings::default()
                     };
                     let mut rig = Rig::new(settings, 3);
@@ -39,25 +39,27 @@
                     rig.wait(Span::from_ms(ms));
                     rig.answer(id, 0, outcome, ms);
                     let (next, actions) = (rig.sent_to(id), rig.actions.clone());
-                    let case = format!("{effect:?} {outcome:?} after {ms} ms, copies {copies}");
-                    let proven = outcome.never_ran();
+                    let case = format!("{idempotency:?} {outcome:?} after {ms} ms, copies {copies}");
+                    let proven = outcome.is_not_executed();
                     let inside = ms < 100.0;
-                    match effect {
-                        Effect::Idempotent => assert!(next.is_some(), "{case}"),
-                        Effect::AtMostOnce => {
+                    match idempotency {
+                        Idempotency::Idempotent => assert!(next.is_some(), "{case}"),
+                        Idempotency::AtMostOnce => {
                             assert_eq!(next.is_some(), proven, "{case}");
                             assert_eq!(failed(&actions, id), !proven, "{case}");
                         }
-                        Effect::Deduplicated { group, .. } => {
+                        Idempotency::Deduplicated { scope, .. } => {
                             assert_eq!(next.is_some(), proven || inside, "{case}");
                             let next = next.map_or(first, |s| s.0);
-                            match group {
+                            match scope {
                                 _ if proven => {}
-                                Group::All => assert_eq!(refused(&actions, id), !inside, "{case}"),
-                                Group::Zone => assert_eq!(next % 3, first % 3, "{case}"),
-                                Group::Cell => assert_eq!(next % 4, first % 4, "{case}"),
+                                DeduplicationScope::All => {
+                                    assert_eq!(refused(&actions, id), !inside, "{case}")
+                                }
+                                DeduplicationScope::Zone => assert_eq!(next % 3, first % 3, "{case}"),
+                                DeduplicationScope::Cell => assert_eq!(next % 4, first % 4, "{case}"),
                             }
-                            if !proven && !inside && group != Group::All {
+                            if !proven && !inside && scope != DeduplicationScope::All {
                                 assert!(failed(&actions, id), "{case}");
                             }
                         }
@@ -72,8 +74,11 @@
 /// The window and the group are those of the first attempt that may have run, not of the first or the last.
 #[test]
 fn the_group_is_that_of_the_first_attempt_that_may_have_run() {
-    let settings =
-        Settings { classes: vec![class(keyed(Group::Zone, 400.0))], max_attempts: 6, ..Settings::default() };
+    let settings = Settings {
+        classes: vec![class(keyed(DeduplicationScope::Zone, 400.0))],
+        max_attempts: 6,
+        ..Settings::default()
+    };
     for seed in 0..40 {
         let mut rig = Rig::new(settings.clone(), seed);
         rig.list(fleet(9, 3, 3));
@@ -90,7 +95,8 @@
 /// A proven non-run after one that may have run does not lift the ban.
 #[test]
 fn a_later_proof_does_not_clear_an_earlier_attempt() {
-    let settings = Settings { classes: vec![class(keyed(Group::Cell, 5000.0))], ..Settings::default() };
+    let settings =
+        Settings { classes: vec![class(keyed(DeduplicationScope::Cell, 5000.0))], ..Settings::default() };
     let mut rig = Rig::new(settings, 9);
     rig.list(fleet(8, 2, 4));
     let (id, first) = rig.ask(0);
@@ -107,8 +113,10 @@
 #[test]
 fn what_may_begin_at_its_first_byte() {
     let window = 100.0;
-    for (effect, late) in [(Effect::Idempotent, true), (keyed(Group::All, window), false)] {
-        let settings = Settings { classes: vec![class(effect)], ..Settings::default() };
+    for (idempotency, late) in
+        [(Idempotency::Idempotent, true), (keyed(DeduplicationScope::All, window), false)]
+    {
+        let settings = Settings { classes: vec![class(idempotency)], ..Settings::default() };
         let mut rig = Rig::new(settings, 3);
         rig.list(fleet(2, 1, 1));
         let (id, _) = rig.ask(0);
@@ -119,13 +127,13 @@
         let server = rig.sent_to(id).expect("a repeat");
         assert!(rig.balancer.may_begin(rig.now, id, AttemptNo(1)));
         let past = rig.now + Span::from_ms(window);
-        assert_eq!(rig.balancer.may_begin(past, id, AttemptNo(1)), late, "{effect:?}");
-        let listed = |status| Listed { status, ..Listed::serving(server) };
-        rig.tell(Event::List(ListUpdate::Changes(vec![listed(Status::Draining)])));
+        assert_eq!(rig.balancer.may_begin(past, id, AttemptNo(1)), late, "{idempotency:?}");
+        let listed = |status| Endpoint { status, ..Endpoint::serving(server) };
+        rig.tell(Event::Endpoints(EndpointUpdate::Changes(vec![listed(Status::Draining)])));
         assert!(!rig.balancer.may_begin(rig.now, id, AttemptNo(1)), "to one that drains");
-        rig.tell(Event::List(ListUpdate::Changes(vec![listed(Status::Serving)])));
+        rig.tell(Event::Endpoints(EndpointUpdate::Changes(vec![listed(Status::Serving)])));
         assert!(rig.balancer.may_begin(rig.now, id, AttemptNo(1)));
-        rig.tell(Event::ClientGone { request: id });
+        rig.tell(Event::ClientDisconnected { request: id });
         assert!(!rig.balancer.may_begin(rig.now, id, AttemptNo(1)), "for nobody");
     }
 }
--- a/tests/observer_sees_breaches.rs
+++ b/tests/observer_sees_breaches.rs
@@ -3,16 +3,16 @@
 use balancer::*;
 use common::*;
 
-fn watch(effect: Effect) -> (Observer, Time) {
+fn watch(idempotency: Idempotency) -> (Observer, Time) {
     let settings = Settings {
-        classes: vec![class(effect)],
-        cold_share: 0.2,
-        warm_after: Span::from_ms(10_000.0),
+        classes: vec![class(idempotency)],
+        initial_capacity: 0.2,
+        warm_up_time: Span::from_ms(10_000.0),
         ..Settings::default()
     };
     let now = Time::from_ms(1000.0);
     let mut observer = Observer::new(&settings);
-    observer.event(now, &Event::List(ListUpdate::Complete(fleet(4, 2, 4))));
+    observer.event(now, &Event::Endpoints(EndpointUpdate::Complete(fleet(4, 2, 4))));
     observer.event(now, &Event::Request(Request::new(RequestId(1), ClassId(0), Span::from_ms(800.0))));
     (observer, now)
 }
@@ -38,38 +38,38 @@
 
 #[test]
 fn lost_late_double_and_posthumous() {
-    let (mut o, now) = watch(Effect::Idempotent);
+    let (mut o, now) = watch(Idempotency::Idempotent);
     assert_eq!(o.lost(now + Span::from_ms(900.0)), 1);
-    o.action(now, &Action::Refuse { request: RequestId(1), retry_after: None });
+    o.action(now, &Action::Reject { request: RequestId(1), retry_after: None });
     assert!(o.faults.is_empty());
     o.action(now, &send(0, now));
     objects(&o, "sent after its end");
     o.action(now, &Action::Fail { request: RequestId(1) });
     objects(&o, "ended twice");
-    let (mut o, now) = watch(Effect::Idempotent);
+    let (mut o, now) = watch(Idempotency::Idempotent);
     o.action(now + Span::from_ms(850.0), &Action::Fail { request: RequestId(1) });
     objects(&o, "ended too late");
 }
 
 #[test]
 fn doubled_effects() {
-    let (mut o, now) = watch(Effect::AtMostOnce);
+    let (mut o, now) = watch(Idempotency::AtMostOnce);
     o.action(now, &send(0, now));
     o.action(now, &send(1, now));
     objects(&o, "two attempts at once");
     o.event(now, &ended(Outcome::ServerError, 0));
     objects(&o, "must not go out again");
-    o.action(now, &Action::Refuse { request: RequestId(1), retry_after: None });
+    o.action(now, &Action::Reject { request: RequestId(1), retry_after: None });
     objects(&o, "refused though it may have run");
 
-    let (mut o, now) = watch(keyed(Group::Zone, 100.0));
+    let (mut o, now) = watch(keyed(DeduplicationScope::Zone, 100.0));
     o.action(now, &send(0, now));
     o.event(now, &ended(Outcome::TimedOut, 0));
     o.action(now, &send(2, now));
     assert!(o.faults.is_empty(), "{:?}", o.faults);
     o.event(now, &ended(Outcome::TimedOut, 1));
     o.action(now, &send(1, now));
-    objects(&o, "outside the group");
+    objects(&o, "outside the scope");
     let late = now + Span::from_ms(150.0);
     o.event(late, &ended(Outcome::TimedOut, 2));
     o.action(late, &send(0, late));
@@ -78,18 +78,18 @@
 
 #[test]
 fn drains_and_cold_servers() {
-    let (mut o, now) = watch(Effect::Idempotent);
-    let line = Listed { status: Status::Draining, ..Listed::serving(ServerId(0)) };
-    o.event(now, &Event::List(ListUpdate::Changes(vec![line])));
+    let (mut o, now) = watch(Idempotency::Idempotent);
+    let line = Endpoint { status: Status::Draining, ..Endpoint::serving(ServerId(0)) };
+    o.event(now, &Event::Endpoints(EndpointUpdate::Changes(vec![line])));
     let later = now + Span::from_ms(1100.0);
     o.event(later, &Event::Request(Request::new(RequestId(2), ClassId(0), Span::from_ms(800.0))));
     let timeout_at = later + Span::from_ms(1.0);
     o.action(later, &Action::Send { request: RequestId(2), server: ServerId(0), timeout_at });
     objects(&o, "draining or gone");
 
-    let (mut o, now) = watch(Effect::Idempotent);
-    let line = Listed { started: Some(now), ..Listed::serving(ServerId(0)) };
-    o.event(now, &Event::List(ListUpdate::Changes(vec![line])));
+    let (mut o, now) = watch(Idempotency::Idempotent);
+    let line = Endpoint { started: Some(now), ..Endpoint::serving(ServerId(0)) };
+    o.event(now, &Event::Endpoints(EndpointUpdate::Changes(vec![line])));
     let later = now + settings_window();
     for (id, now) in (2..13).map(|id| (id, if id == 2 { now } else { later })) {
         o.event(now, &Event::Request(Request::new(RequestId(id), ClassId(0), Span::from_ms(800.0))));
@@ -100,5 +100,5 @@
 
 /// A whole window: the observer judges only once the fleet has been as it is for so long.
 fn settings_window() -> Span {
-    Settings::default().fall_after
+    Settings::default().overload_window
 }
--- a/tests/one_final_answer.rs
+++ b/tests/one_final_answer.rs
@@ -4,7 +4,10 @@
 use common::*;
 
 fn plain() -> Settings {
-    Settings { classes: vec![class(Effect::Idempotent), class(Effect::AtMostOnce)], ..Settings::default() }
+    Settings {
+        classes: vec![class(Idempotency::Idempotent), class(Idempotency::AtMostOnce)],
+        ..Settings::default()
+    }
 }
 
 #[test]
@@ -61,10 +64,10 @@
     for _ in 0..2 {
         assert!(rig.answer(id, 0, Outcome::TimedOut, 20.0).is_empty());
         assert!(rig.answer(id, 9, Outcome::Success, 20.0).is_empty());
-        assert!(rig.tell(Event::ClientGone { request: id }).is_empty());
+        assert!(rig.tell(Event::ClientDisconnected { request: id }).is_empty());
         assert!(rig.answer(RequestId(999), 0, Outcome::ServerError, 1.0).is_empty());
         assert!(rig.tell(Event::FirstByte { request: id, attempt: AttemptNo(0) }).is_empty());
-        let probe = Event::Probed {
+        let probe = Event::HealthChecked {
             server: ServerId(99),
             outcome: Outcome::Success,
             elapsed: Span::ZERO,
@@ -82,7 +85,7 @@
     let mut rig = Rig::new(plain(), 1);
     rig.list(fleet(3, 1, 1));
     let (id, _) = rig.ask(0);
-    rig.tell(Event::ClientGone { request: id });
+    rig.tell(Event::ClientDisconnected { request: id });
     assert!(rig.answer(id, 0, Outcome::ServerError, 5.0).is_empty());
     rig.assert_rules();
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 fn settings() -> Settings {
-    Settings { classes: vec![class(Effect::Idempotent)], max_attempts: 6, ..Settings::default() }
+    Settings { classes: vec![class(Idempotency::Idempotent)], max_attempts: 6, ..Settings::default() }
 }
 
 /// Fills a fleet of one server until requests are held; the requests sent and those held.
@@ -40,7 +40,7 @@
     let mut refusals = 0;
     while rig.now.since(start) < Span::from_ms(200.0) {
         refusals +=
-            rig.wait(Span::from_ms(10.0)).iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+            rig.wait(Span::from_ms(10.0)).iter().filter(|a| matches!(a, Action::Reject { .. })).count();
         if refusals == held.len() {
             break;
         }
@@ -252,8 +252,8 @@
     for id in 0..10 {
         assert!(ask(id, 500.0), "first tries of a class wait alike, here for 500 of 800 ms");
     }
-    assert!(ask(10, 700.0), "100 ms spent: half of the aim is left");
-    assert!(!ask(11, 580.0), "220 ms spent: past the aim of 200");
+    assert!(ask(10, 700.0), "100 ms spent: half of the latency_objective is left");
+    assert!(!ask(11, 580.0), "220 ms spent: past the latency_objective of 200");
 }
 
 fn pressed(settings: Settings, ask: impl Fn(u32) -> Request) -> BTreeMap<(usize, Option<usize>), (u32, u32)> {
@@ -291,10 +291,13 @@
 
 #[test]
 fn under_pressure_the_class_worth_most_is_spared_and_none_is_starved() {
-    let worth = |worth| Class { worth, ..class(Effect::Idempotent) };
+    let priority_weight = |priority_weight| Class { priority_weight, ..class(Idempotency::Idempotent) };
     let goal = Goal { whole: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
-    let settings =
-        Settings { classes: vec![worth(1.0), worth(3.0), worth(10.0)], goal, ..Settings::default() };
+    let settings = Settings {
+        classes: vec![priority_weight(1.0), priority_weight(3.0), priority_weight(10.0)],
+        goal,
+        ..Settings::default()
+    };
     let tally = pressed(settings, |i| {
         Request::new(RequestId(u64::from(i)), ClassId((i % 3) as usize), Span::from_ms(800.0))
     });
@@ -308,8 +311,8 @@
     let tenant = |fraction| Tenant { fraction, allowance_per_s: 100.0 };
     let settings = Settings {
         tenants: vec![tenant(0.3), tenant(0.7)],
-        over_share_worth: 0.1,
-        classes: vec![class(Effect::Idempotent)],
+        over_quota_weight: 0.1,
+        classes: vec![class(Idempotency::Idempotent)],
         ..Settings::default()
     };
     let tally = pressed(settings, |i| Request {
@@ -410,17 +413,18 @@
 /// can be answered at once, and a request that would be held in one of them is refused there and then.
 #[test]
 fn what_is_held_leaves_clients_room_to_ask() {
-    for at_once in [None, Some(40)] {
-        let classes = vec![Class { aim: Span::from_ms(2000.0), ..class(Effect::Idempotent) }];
+    for max_concurrent_requests in [None, Some(40)] {
+        let classes =
+            vec![Class { latency_objective: Span::from_ms(2000.0), ..class(Idempotency::Idempotent) }];
         let classes = classes.into_iter().map(|c| Class { deadline: Span::from_ms(8000.0), ..c }).collect();
-        let mut rig = Rig::new(Settings { at_once, classes, ..Settings::default() }, 3);
+        let mut rig = Rig::new(Settings { max_concurrent_requests, classes, ..Settings::default() }, 3);
         rig.list(fleet(1, 1, 1));
         let open = (0..60).filter(|_| {
             let (id, _) = rig.ask(0);
             !refused(&rig.actions, id)
         });
         let open = open.count();
-        assert_eq!(open, at_once.map_or(60, |_| 30), "{at_once:?}");
+        assert_eq!(open, max_concurrent_requests.map_or(60, |_| 30), "{max_concurrent_requests:?}");
         rig.assert_rules();
     }
 }
--- a/tests/random_walk.rs
+++ b/tests/random_walk.rs
@@ -8,22 +8,22 @@
     Settings {
         balancers: 1 + (pick % 7) as u32,
         classes: vec![
-            class(Effect::Idempotent),
-            class(Effect::AtMostOnce),
-            class(keyed(Group::All, 300.0)),
-            class(keyed(Group::Zone, 200.0)),
-            class(keyed(Group::Cell, 600.0)),
-            Class { late_worth: 0.3, stream: true, ..class(Effect::Idempotent) },
+            class(Idempotency::Idempotent),
+            class(Idempotency::AtMostOnce),
+            class(keyed(DeduplicationScope::All, 300.0)),
+            class(keyed(DeduplicationScope::Zone, 200.0)),
+            class(keyed(DeduplicationScope::Cell, 600.0)),
+            Class { late_weight: 0.3, stream: true, ..class(Idempotency::Idempotent) },
         ],
-        second_copies: pick % 2 == 0,
+        hedging: pick % 2 == 0,
         cancel: pick % 3 != 0,
         retry_after: pick % 5 == 0,
         probes: pick % 4 == 0,
-        report_source: if pick % 3 == 0 { ReportSource::None } else { ReportSource::Answers },
+        report_source: if pick % 3 == 0 { ReportSource::None } else { ReportSource::Responses },
         report_fields: vec![ReportField::InFlight, ReportField::ServiceTime],
-        discovery: if pick % 2 == 1 { Discovery::OnRequest } else { Discovery::Pushed },
-        cold_share: 0.2,
-        warm_after: Span::from_ms(4000.0),
+        discovery: if pick % 2 == 1 { Discovery::Polled } else { Discovery::Pushed },
+        initial_capacity: 0.2,
+        warm_up_time: Span::from_ms(4000.0),
         ..Settings::default()
     }
 }
@@ -46,7 +46,7 @@
     let mut out: Vec<Out> = Vec::new();
     let mut attempts: BTreeMap<RequestId, u32> = BTreeMap::new();
     let mut said = Vec::new();
-    rig.tell(Event::List(ListUpdate::Saved(lines.clone())));
+    rig.tell(Event::Endpoints(EndpointUpdate::Saved(lines.clone())));
     for step in 0..steps {
         let mut actions = Vec::new();
         match rng.u32(0..100) {
@@ -90,7 +90,7 @@
             }
             84..=86 => {
                 let request = RequestId(u64::from(rng.u32(0..step + 1)));
-                actions.extend_from_slice(rig.tell(Event::ClientGone { request }));
+                actions.extend_from_slice(rig.tell(Event::ClientDisconnected { request }));
             }
             87..=90 => {
                 let i = rng.usize(0..lines.len());
@@ -100,11 +100,11 @@
                     lines[i].started = Some(rig.now);
                 }
                 let update = match rng.u32(0..6) {
-                    0 => ListUpdate::Failed,
-                    1 => ListUpdate::Complete(lines.clone()),
-                    _ => ListUpdate::Changes(vec![lines[i].clone()]),
+                    0 => EndpointUpdate::Failed,
+                    1 => EndpointUpdate::Complete(lines.clone()),
+                    _ => EndpointUpdate::Changes(vec![lines[i].clone()]),
                 };
-                actions.extend_from_slice(rig.tell(Event::List(update)));
+                actions.extend_from_slice(rig.tell(Event::Endpoints(update)));
             }
             _ => actions = rig.wait(Span::from_ms(rng.f64() * 15.0)),
         }
--- a/tests/senseless_answers.rs
+++ b/tests/senseless_answers.rs
@@ -4,30 +4,30 @@
 use common::*;
 
 fn rig(discovery: Discovery) -> Rig {
-    let classes = vec![class(Effect::Idempotent)];
+    let classes = vec![class(Idempotency::Idempotent)];
     let mut rig = Rig::new(Settings { discovery, classes, ..Settings::default() }, 3);
     rig.list(fleet(6, 2, 2));
     rig
 }
 
 /// How long it takes to ask again after each of these, in milliseconds.
-fn pauses(rig: &mut Rig, update: &ListUpdate, times: usize) -> Vec<f64> {
+fn pauses(rig: &mut Rig, update: &EndpointUpdate, times: usize) -> Vec<f64> {
     let mut pause = || {
-        rig.tell(Event::List(update.clone()));
+        rig.tell(Event::Endpoints(update.clone()));
         let from = rig.now;
-        while !rig.wait(Span::from_ms(10.0)).iter().any(|a| matches!(a, Action::Follow { active: true })) {
+        while !rig.wait(Span::from_ms(10.0)).iter().any(|a| matches!(a, Action::Watch { active: true })) {
             assert!(rig.now.since(from) < Span::from_ms(60_000.0), "it never asks again");
         }
-        rig.now.since(from).ms()
+        rig.now.since(from).as_ms()
     };
     (0..times).map(|_| pause()).collect()
 }
 
 #[test]
 fn pauses_grow_where_answers_make_no_sense() {
-    for discovery in [Discovery::Pushed, Discovery::OnRequest] {
+    for discovery in [Discovery::Pushed, Discovery::Polled] {
         let mut rig = rig(discovery);
-        let pauses = pauses(&mut rig, &ListUpdate::Senseless, 10);
+        let pauses = pauses(&mut rig, &EndpointUpdate::Unusable, 10);
         // Each pause lies between half and one and a half of its figure, and a tick later at most.
         assert!(pauses[0] <= 360.0, "{discovery:?}: {pauses:?}");
         for (i, pause) in pauses.iter().enumerate() {
@@ -38,7 +38,7 @@
         // What was known stands, and news that can be used ends it.
         assert!(rig.ask(0).1.is_some());
         rig.list(fleet(6, 2, 2));
-        let again = self::pauses(&mut rig, &ListUpdate::Senseless, 1);
+        let again = self::pauses(&mut rig, &EndpointUpdate::Unusable, 1);
         assert!(again[0] <= 360.0, "{discovery:?}: {again:?}");
     }
 }
@@ -47,9 +47,9 @@
 /// Where news are pushed the source lies beside, and is asked soon.
 #[test]
 fn pauses_stay_short_where_lists_only_fail_to_come() {
-    let pushed = pauses(&mut rig(Discovery::Pushed), &ListUpdate::Failed, 10);
+    let pushed = pauses(&mut rig(Discovery::Pushed), &EndpointUpdate::Failed, 10);
     assert!(pushed.iter().all(|pause| (100.0..=360.0).contains(pause)), "{pushed:?}");
-    let asked = pauses(&mut rig(Discovery::OnRequest), &ListUpdate::Failed, 8);
+    let asked = pauses(&mut rig(Discovery::Polled), &EndpointUpdate::Failed, 8);
     assert!(asked[7] >= 1600.0, "they have grown: {asked:?}");
     assert!(asked.iter().all(|pause| *pause <= 5060.0), "{asked:?}");
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -12,14 +12,20 @@
     };
     assert_eq!(with(|s| s.classes.clear()), Some(SettingsError::NoClasses));
     assert_eq!(with(|s| s.max_attempts = 0), Some(SettingsError::NoAttempts));
-    assert_eq!(with(|s| s.classes[0].aim = Span::ZERO), Some(SettingsError::ZeroSpan { setting: "aim" }));
+    assert_eq!(
+        with(|s| s.classes[0].latency_objective = Span::ZERO),
+        Some(SettingsError::ZeroSpan { setting: "latency_objective" })
+    );
     assert_eq!(
         with(|s| s.classes[0].deadline = Span::ZERO),
         Some(SettingsError::ZeroSpan { setting: "deadline" })
     );
-    assert!(matches!(with(|s| s.cold_share = f64::NAN), Some(SettingsError::BadNumber { .. })));
+    assert!(matches!(with(|s| s.initial_capacity = f64::NAN), Some(SettingsError::BadNumber { .. })));
     assert!(matches!(with(|s| s.overload_factor = -1.0), Some(SettingsError::BadNumber { .. })));
-    assert!(matches!(with(|s| s.classes[0].worth = f64::INFINITY), Some(SettingsError::BadNumber { .. })));
+    assert!(matches!(
+        with(|s| s.classes[0].priority_weight = f64::INFINITY),
+        Some(SettingsError::BadNumber { .. })
+    ));
     assert_eq!(with(|_| ()), None);
 }
 
@@ -27,10 +33,10 @@
 #[test]
 fn the_plain_path_needs_nothing_but_a_class() {
     let settings = Settings {
-        classes: vec![class(Effect::Idempotent)],
+        classes: vec![class(Idempotency::Idempotent)],
         cancel: false,
         goal: Goal { whole: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
-        warm_after: Span::ZERO,
+        warm_up_time: Span::ZERO,
         ..Settings::default()
     };
     let mut rig = Rig::new(settings, 1);
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -3,8 +3,8 @@
 use balancer::*;
 use common::*;
 
-fn settings(effect: Effect) -> Settings {
-    Settings { classes: vec![class(effect)], ..Settings::default() }
+fn settings(idempotency: Idempotency) -> Settings {
+    Settings { classes: vec![class(idempotency)], ..Settings::default() }
 }
 
 /// Requests one after the other, each answered by `answer`; how many went to each of `n` servers.
@@ -30,7 +30,7 @@
 #[test]
 fn quick_errors_do_not_draw_traffic() {
     for bad in [Outcome::ServerError, Outcome::ConnectFailed, Outcome::ConnectionReset] {
-        let mut rig = Rig::new(settings(Effect::Idempotent), 11);
+        let mut rig = Rig::new(settings(Idempotency::Idempotent), 11);
         rig.list(fleet(5, 1, 1));
         let sick = ServerId(2);
         let sent = serve(&mut rig, 5, 400, |s| if s == sick { (bad, 0.2) } else { (Outcome::Success, 30.0) });
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_much_slower_server_is_left_and_taken_back() {
-    let mut rig = Rig::new(settings(Effect::Idempotent), 11);
+    let mut rig = Rig::new(settings(Idempotency::Idempotent), 11);
     rig.list(fleet(5, 1, 1));
     let sent = serve(&mut rig, 5, 300, |s| (Outcome::Success, if s.0 == 2 { 300.0 } else { 30.0 }));
     assert!(sent[2] < 20, "{sent:?}");
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_fleet_that_is_slow_together_keeps_all_its_servers() {
-    let mut rig = Rig::new(settings(Effect::Idempotent), 11);
+    let mut rig = Rig::new(settings(Idempotency::Idempotent), 11);
     rig.list(fleet(5, 1, 1));
     serve(&mut rig, 5, 100, |_| (Outcome::Success, 30.0));
     let sent = serve(&mut rig, 5, 300, |_| (Outcome::Success, 110.0));
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_silent_server_is_left_and_its_repeatable_request_called_back() {
-    let mut rig = Rig::new(settings(Effect::Idempotent), 5);
+    let mut rig = Rig::new(settings(Idempotency::Idempotent), 5);
     rig.list(fleet(4, 1, 1));
     serve(&mut rig, 4, 40, |_| (Outcome::Success, 20.0));
     // Two requests on one server, none on the others: only there nothing comes back.
@@ -87,19 +87,19 @@
 /// On quiet days costly requests made healthy servers suspect, each a second time in vain.
 #[test]
 fn a_costly_request_alone_on_its_server_is_no_hang_before_its_aim() {
-    let mut rig = Rig::new(settings(Effect::Idempotent), 5);
+    let mut rig = Rig::new(settings(Idempotency::Idempotent), 5);
     rig.list(fleet(4, 1, 1));
     serve(&mut rig, 4, 40, |_| (Outcome::Success, 20.0));
     assert!(rig.ask(0).1.is_some());
     let seen =
         |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. } | Action::Log { .. }));
     assert!(!seen(&rig.wait(Span::from_ms(195.0))));
-    assert!(seen(&rig.wait(Span::from_ms(60.0))), "past its aim it counts");
+    assert!(seen(&rig.wait(Span::from_ms(60.0))), "past its latency_objective it counts");
 }
 
 #[test]
 fn what_must_not_repeat_is_not_called_back() {
-    let mut rig = Rig::new(settings(Effect::AtMostOnce), 5);
+    let mut rig = Rig::new(settings(Idempotency::AtMostOnce), 5);
     rig.list(fleet(4, 1, 1));
     let (id, _) = rig.ask(0);
     let actions = rig.wait(Span::from_ms(790.0));
@@ -111,7 +111,7 @@
 /// Without a safe class nothing would ever try a suspect, so others must after a while.
 #[test]
 fn a_site_without_safe_classes_takes_servers_back() {
-    let mut rig = Rig::new(settings(Effect::AtMostOnce), 11);
+    let mut rig = Rig::new(settings(Idempotency::AtMostOnce), 11);
     rig.list(fleet(3, 1, 1));
     serve(&mut rig, 3, 100, |s| match s.0 {
         1 => (Outcome::ServerError, 0.2),
@@ -123,7 +123,7 @@
 
 #[test]
 fn most_of_the_fleet_out_of_reach_leaves_the_rest_in_use() {
-    let mut rig = Rig::new(settings(Effect::Idempotent), 11);
+    let mut rig = Rig::new(settings(Idempotency::Idempotent), 11);
     rig.list(fleet(8, 1, 1));
     let cut = |s: ServerId| if s.0 < 6 { (Outcome::ConnectFailed, 100.0) } else { (Outcome::Success, 20.0) };
     serve(&mut rig, 8, 60, cut);
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_whole_fleet_that_fails_is_still_tried() {
-    let mut rig = Rig::new(settings(Effect::Idempotent), 11);
+    let mut rig = Rig::new(settings(Idempotency::Idempotent), 11);
     rig.list(fleet(4, 1, 1));
     serve(&mut rig, 4, 40, |_| (Outcome::ServerError, 1.0));
     let sent = serve(&mut rig, 4, 40, |_| (Outcome::Success, 20.0));
@@ -145,7 +145,8 @@
 /// was suspect then. A server that gives nothing but errors still is.
 #[test]
 fn errors_of_the_whole_fleet_make_no_server_suspect() {
-    let mut rig = Rig::new(Settings { classes: vec![class(Effect::AtMostOnce)], ..Settings::default() }, 5);
+    let mut rig =
+        Rig::new(Settings { classes: vec![class(Idempotency::AtMostOnce)], ..Settings::default() }, 5);
     rig.list(fleet(12, 1, 1));
     let mut dice = fastrand::Rng::with_seed(9);
     let mut suspects = [0; 12];
@@ -167,17 +168,17 @@
 /// An answer that has begun is told as a success; one that breaks off later must count against its server.
 #[test]
 fn a_server_whose_answers_break_off_is_left() {
-    let mut rig = Rig::new(settings(Effect::Idempotent), 11);
+    let mut rig = Rig::new(settings(Idempotency::Idempotent), 11);
     rig.list(fleet(5, 1, 1));
     let sick = ServerId(2);
     let mut sent = 0;
     for _ in 0..200 {
         if rig.ask_and_answer(10.0) == Some(sick) {
             sent += 1;
-            rig.tell(Event::Broke { server: sick });
+            rig.tell(Event::ResponseAborted { server: sick });
         }
     }
     assert!((1..=12).contains(&sent), "{sent} of 200, of them trials only");
-    rig.tell(Event::Broke { server: ServerId(99) });
+    rig.tell(Event::ResponseAborted { server: ServerId(99) });
     rig.assert_rules();
 }
--- a/tests/takes_over.rs
+++ b/tests/takes_over.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 fn rig(seed: u64) -> Rig {
-    let settings = Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() };
+    let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut rig = Rig::new(settings, seed);
     rig.list(fleet(4, 1, 1));
     rig
@@ -16,7 +16,7 @@
     (0..100).filter(|_| rig.ask(0).1.is_some()).count()
 }
 
-fn taught() -> Lessons {
+fn taught() -> Snapshot {
     let mut rig = rig(3);
     for _ in 0..60 {
         let ids: Vec<_> =
@@ -26,14 +26,14 @@
             rig.answer(id, 0, Outcome::Success, 20.0);
         }
     }
-    rig.balancer.lessons(rig.now)
+    rig.balancer.snapshot(rig.now)
 }
 
 #[test]
 fn a_balancer_goes_on_from_what_another_has_learned() {
     let fresh = burst(&mut rig(4));
     let mut next = rig(4);
-    next.tell(Event::Learned(taught()));
+    next.tell(Event::Restore(taught()));
     let taught = burst(&mut next);
     assert!(taught > fresh + 4, "{taught} at once, {fresh} without lessons");
     next.assert_rules();
@@ -42,14 +42,14 @@
 #[test]
 fn a_new_process_and_a_suspect_server_are_told_apart() {
     let mut lessons = taught();
-    let limit = |rig: &Rig| rig.balancer.lessons(rig.now).servers[1].limit;
+    let limit = |rig: &Rig| rig.balancer.snapshot(rig.now).servers[1].limit;
     let mut next = rig(4);
     let before = limit(&next);
     lessons.servers[1].started = Some(Time(5));
     lessons.servers[2].suspect = true;
-    next.tell(Event::Learned(lessons));
+    next.tell(Event::Restore(lessons));
     assert_eq!(limit(&next), before, "it was another process");
-    assert_eq!(next.balancer.fleet(next.now).avoided, 1);
+    assert_eq!(next.balancer.endpoint_counts(next.now).avoided, 1);
 }
 
 #[test]
@@ -63,7 +63,7 @@
         }
         lessons.servers[0].server = ServerId(99);
         let mut next = rig(4);
-        next.tell(Event::Learned(lessons));
+        next.tell(Event::Restore(lessons));
         for _ in 0..50 {
             assert!(next.ask_and_answer(20.0).is_some(), "{odd}");
         }
@@ -74,7 +74,7 @@
 /// What is left for the next one is bounded however many servers there are, and it is of those that were met last.
 #[test]
 fn word_is_left_of_the_servers_that_were_met_last() {
-    let settings = Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() };
+    let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut rig = Rig::new(settings, 5);
     rig.list(fleet(5000, 5, 5));
     let mut met = Vec::new();
@@ -84,7 +84,7 @@
         rig.wait(Span::from_ms(1.0));
         rig.answer(id, 0, Outcome::Success, 1.0);
     }
-    let told = rig.balancer.lessons(rig.now).servers;
+    let told = rig.balancer.snapshot(rig.now).servers;
     assert_eq!(told.len(), 1024);
     // A thousand sends meet at most so many: all of them must be there.
     let told: BTreeSet<ServerId> = told.iter().map(|lesson| lesson.server).collect();
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -32,7 +32,7 @@
 const CALLED_BACK: u64 = 1 << 60;
 
 impl World {
-    fn new(settings: Settings, list: Vec<Listed>, seed: u64) -> Self {
+    fn new(settings: Settings, list: Vec<Endpoint>, seed: u64) -> Self {
         let mut rig = Rig::new(settings, seed);
         rig.list(list);
         World {
@@ -58,7 +58,7 @@
                     let attempt = self.out.range((request, 0)..=(request, u32::MAX)).count() as u32;
                     let class = self.class[&request];
                     self.sent.push((now, server, class));
-                    let (at, outcome) = match does(server, class, now.ms()) {
+                    let (at, outcome) = match does(server, class, now.as_ms()) {
                         Does::Answer(ms) if now + Span::from_ms(ms) <= timeout_at => {
                             (now + Span::from_ms(ms), Outcome::Success)
                         }
@@ -79,7 +79,7 @@
                     let (id, n, _, sent) = value;
                     self.due.insert((now, self.count + CALLED_BACK), (id, n, Outcome::Cancelled, sent));
                 }
-                Action::Probe { .. } => self.probed += 1,
+                Action::HealthCheck { .. } => self.probed += 1,
                 Action::Log { zone: Some(zone), text, .. } => {
                     self.left_at.get_or_insert(now);
                     self.logs.push(text.replace("zone is", &format!("zone {}", zone.0)));
@@ -114,7 +114,7 @@
                 if outcome == Outcome::Success {
                     self.served.insert(id);
                 }
-                let elapsed = self.rig.now.since(sent).ms();
+                let elapsed = self.rig.now.since(sent).as_ms();
                 let actions = self.rig.answer(id, attempt, outcome, elapsed).to_vec();
                 self.carry_out(actions, &does);
             }
@@ -139,12 +139,12 @@
 }
 
 fn settings(balancers: u32) -> Settings {
-    let classes = vec![class(Effect::Idempotent)];
-    Settings { classes, balancers, cold_share: 0.2, ..Settings::default() }
+    let classes = vec![class(Idempotency::Idempotent)];
+    Settings { classes, balancers, initial_capacity: 0.2, ..Settings::default() }
 }
 
 fn two_classes() -> Settings {
-    Settings { classes: vec![class(Effect::Idempotent), class(Effect::Idempotent)], ..settings(4) }
+    Settings { classes: vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)], ..settings(4) }
 }
 
 const WELL: Does = Does::Answer(40.0);
@@ -192,7 +192,7 @@
     world.play(600, 5.0, |s, _, _| if s.0 % 4 == 1 { Does::Nothing } else { WELL });
     assert_eq!(world.share(since, 4, None), 0.0, "no request is spent on it");
     assert!((3..=12).contains(&(world.probed - asked)), "{} probes in three seconds", world.probed - asked);
-    world.rig.tell(Event::Probed {
+    world.rig.tell(Event::HealthChecked {
         server: ServerId(5),
         outcome: Outcome::Success,
         elapsed: Span::from_ms(1.0),
@@ -205,7 +205,7 @@
 /// What is out in the zone is called back with the verdict, and not one by one as each becomes overdue.
 #[test]
 fn what_is_out_in_a_silent_zone_is_saved() {
-    let classes = vec![Class { late_worth: 0.5, ..class(Effect::Idempotent) }];
+    let classes = vec![Class { late_weight: 0.5, ..class(Idempotency::Idempotent) }];
     let mut world = four_zones(Settings { classes, ..settings(4) }, 2);
     world.play(120, 5.0, |s, _, _| if s.0 % 4 == 1 { Does::Nothing } else { WELL });
     let left_at = world.left_at.expect("the zone is left");
@@ -265,11 +265,11 @@
     let mut world = four_zones(settings(4), 9);
     let start = world.rig.now;
     // Silent for a second, well for half of one.
-    let gone = |at: f64| ((at - start.ms()) % 1500.0) < 1000.0;
+    let gone = |at: f64| ((at - start.as_ms()) % 1500.0) < 1000.0;
     world.play(7200, 5.0, |s, _, at| if s.0 % 4 == 1 && gone(at) { Does::Nothing } else { WELL });
     let lost = |from: f64, to: f64| {
-        let there = |s: &&(Time, ServerId, usize)| s.1 .0 % 4 == 1 && gone(s.0.ms());
-        let within = |s: &&(Time, ServerId, usize)| (from..to).contains(&(s.0.ms() - start.ms()));
+        let there = |s: &&(Time, ServerId, usize)| s.1 .0 % 4 == 1 && gone(s.0.as_ms());
+        let within = |s: &&(Time, ServerId, usize)| (from..to).contains(&(s.0.as_ms() - start.as_ms()));
         world.sent.iter().filter(there).filter(within).count()
     };
     let (first, last) = (lost(0.0, 9_000.0), lost(27_000.0, 36_000.0));
@@ -319,7 +319,7 @@
     let mut world = four_zones(settings(4), 13);
     world.play(80, 5.0, |s, _, _| if s.0 % 4 == 1 { Does::Nothing } else { WELL });
     assert_eq!(world.phase(1), ZonePhase::Away);
-    let rename = |l: Listed| Listed { zone: if l.zone == ZoneId(1) { ZoneId(9) } else { l.zone }, ..l };
+    let rename = |l: Endpoint| Endpoint { zone: if l.zone == ZoneId(1) { ZoneId(9) } else { l.zone }, ..l };
     world.rig.list(fleet(16, 4, 16).into_iter().map(rename).collect());
     assert!(world.rig.balancer.zone_views().iter().all(|v| v.zone != ZoneId(1)));
     world.play(800, 5.0, |_, _, _| WELL);
@@ -383,7 +383,7 @@
 #[test]
 fn a_zone_that_relapses_is_tried_after_longer_and_longer_pauses() {
     let mut world = four_zones(settings(4), 26);
-    let start = world.rig.now.ms();
+    let start = world.rig.now.as_ms();
     let last = std::cell::Cell::new(0.0);
     world.play(8000, 5.0, |s, _, at| {
         if s.0 % 4 != 1 {
@@ -399,7 +399,7 @@
     let relapses = world.logs.iter().filter(|l| l.contains("relapsed")).count();
     assert!(relapses >= 3, "{:?}", world.logs);
     let there = |from: f64, to: f64| {
-        let within = |s: &&(Time, ServerId, usize)| (from..to).contains(&(s.0.ms() - start));
+        let within = |s: &&(Time, ServerId, usize)| (from..to).contains(&(s.0.as_ms() - start));
         world.sent.iter().filter(within).filter(|s| s.1 .0 % 4 == 1).count()
     };
     let (first, last) = (there(2_000.0, 12_000.0), there(30_000.0, 40_000.0));
