--- /dev/null
+++ b/src/decaying_sum.rs
@@ -0,0 +1,23 @@
+//! A sum whose terms decay exponentially with time.
+
+use crate::Time;
+
+/// An exponentially decaying sum: a term keeps 1/e of its value after the time constant of the last addition.
+#[derive(Debug, Clone, Copy, Default)]
+pub(crate) struct DecayingSum {
+    sum: f64,
+    time_constant_ms: f64,
+    updated_at: Time,
+}
+
+impl DecayingSum {
+    /// The sum as it has decayed by `now`.
+    pub(crate) fn value(&self, now: Time) -> f64 {
+        self.sum * (-now.since(self.updated_at).as_ms() / self.time_constant_ms.max(1.0)).exp()
+    }
+
+    /// Adds a term; from now on the whole sum decays with this time constant.
+    pub(crate) fn add(&mut self, now: Time, time_constant_ms: f64, term: f64) {
+        *self = DecayingSum { sum: self.value(now) + term, time_constant_ms, updated_at: now };
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -23,13 +23,17 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: RequestId(1), .. })));
 //! ```
 mod action;
+mod decaying_sum;
+mod due_times;
 mod endpoint;
 mod event;
 mod ids;
-mod index;
 mod logic;
+mod moving_average;
 mod records;
+mod running_median;
 mod settings;
+mod slot_sets;
 #[cfg(test)]
 mod tests;
 mod time;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -5,6 +5,7 @@
 //! `outcome` learns from the answer and decides what follows, `end` gives the one final answer. `tick` looks
 //! after silent servers, held requests and the list.
 
+use crate::moving_average::step_favoring_low;
 use crate::records::*;
 use crate::*;
 
@@ -243,7 +244,7 @@
                 if self.left.remove(&zone) {
                     // What was learned stands; but all balancers return in the same moment.
                     self.of_zone(zone, |s| s.returned = Some(at));
-                    let there = self.in_zone.of(zone).to_vec();
+                    let there = self.in_zone.members(zone).to_vec();
                     there.into_iter().for_each(|i| self.try_again(i, at));
                     self.reopen(now, out);
                 }
@@ -486,10 +487,10 @@
         let rested =
             now.since(s.ended).as_ms() >= s.took * (1.0 / limit - 1.0).max(0.0) && now >= s.rest_until;
         let slow_start_factor = self.slow_start_factor(s, now);
-        let share = || slow_start_factor * self.warm_sent.now(now);
+        let share = || slow_start_factor * self.warm_sent.value(now);
         let owed = || s.try_by.is_some_and(|by| now >= by);
         let cold =
-            slow_start_factor < 1.0 && self.warm() > 0 && s.cold_sent.now(now) + work > share() && !owed();
+            slow_start_factor < 1.0 && self.warm() > 0 && s.cold_sent.value(now) + work > share() && !owed();
         rested && !cold && f64::from(s.at_work()) + 1.0 <= (limit * slow_start_factor).max(1.0)
     }
 
@@ -785,8 +786,12 @@
                 if used < 1.0 {
                     s.doubted_until = now;
                 }
-                lean(&mut self.class_pace[flight.class], used, CLASS_GAIN);
-                lean(&mut s.stretch, (used / self.class_pace[flight.class].max(0.001)).min(8.0), CLASS_GAIN);
+                step_favoring_low(&mut self.class_pace[flight.class], used, CLASS_GAIN);
+                step_favoring_low(
+                    &mut s.stretch,
+                    (used / self.class_pace[flight.class].max(0.001)).min(8.0),
+                    CLASS_GAIN,
+                );
                 s.stretch = s.stretch.max(0.05);
                 let current = &mut self.class_now[flight.class];
                 *current += PACE_GAIN * (used - *current);
@@ -881,7 +886,7 @@
         if self.blind {
             return self.doubt(now, server, out);
         }
-        let (all, suspects) = (self.serving.all().len() as f64, self.suspects.len());
+        let (all, suspects) = (self.serving.members().len() as f64, self.suspects.len());
         let s = &mut self.servers[server];
         if s.suspicion.is_some() || (suspects + 1) as f64 > SUSPECT_SHARE * all {
             return;
@@ -954,8 +959,8 @@
     fn reopen(&mut self, now: Time, out: &mut Vec<Action>) {
         self.memory.retain(|&m| self.servers[m].open);
         self.settle(now);
-        let serving = self.serving.all().len();
-        self.shut = serving == 0 && !self.held_back.all().is_empty();
+        let serving = self.serving.members().len();
+        self.shut = serving == 0 && !self.held_back.members().is_empty();
         self.most = self.most.max(serving);
         self.blind = self.settings.balancers as usize > self.most;
         self.pump(now, out);
--- a/src/records.rs
+++ b/src/records.rs
@@ -1,6 +1,9 @@
 //! What the decisions keep of requests, attempts and servers: records only, nothing is decided here.
 
-use crate::index::*;
+use crate::decaying_sum::DecayingSum;
+use crate::due_times::DueTimes;
+use crate::running_median::RunningMedian;
+use crate::slot_sets::{SlotGroups, SlotSet};
 use crate::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,24 +38,6 @@
     pub(crate) until: Time,
 }
 
-/// A sum whose parts fade with time.
-#[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Fading {
-    sum: f64,
-    over_ms: f64,
-    at: Time,
-}
-
-impl Fading {
-    pub(crate) fn now(&self, now: Time) -> f64 {
-        self.sum * (-now.since(self.at).as_ms() / self.over_ms.max(1.0)).exp()
-    }
-
-    pub(crate) fn add(&mut self, now: Time, over_ms: f64, part: f64) {
-        *self = Fading { sum: self.now(now) + part, over_ms, at: now };
-    }
-}
-
 /// What a pick must know of its request.
 pub(crate) struct Pick {
     pub(crate) id: RequestId,
@@ -178,7 +163,7 @@
     pub(crate) returned: Option<Time>,
     pub(crate) try_by: Option<Time>,
     /// Work sent to it while it was cold.
-    pub(crate) cold_sent: Fading,
+    pub(crate) cold_sent: DecayingSum,
     /// Load by the last report, and sends since.
     pub(crate) reported: f64,
     pub(crate) reported_at: Option<Time>,
@@ -210,7 +195,7 @@
             doubted_until: now,
             returned: None,
             try_by: None,
-            cold_sent: Fading::default(),
+            cold_sent: DecayingSum::default(),
             reported: 0.0,
             reported_at: None,
             sent_since: 0,
@@ -377,7 +362,7 @@
     pub(crate) index: BTreeMap<ServerId, usize>,
     pub(crate) free: Vec<usize>,
     /// When the slots of those that have left are to be freed.
-    pub(crate) gone: Dues,
+    pub(crate) gone: DueTimes,
     pub(crate) live: BTreeMap<RequestId, Live>,
     pub(crate) flights: BTreeMap<(RequestId, u32), Flight>,
     /// Newest first within each rank.
@@ -385,28 +370,28 @@
     pub(crate) memory: Vec<usize>,
     pub(crate) asking: Vec<Asking>,
     /// Serving servers that were cold at the last look at the clock by when they are warm, and when that look was.
-    pub(crate) warming: Dues,
+    pub(crate) warming: DueTimes,
     pub(crate) settled: Time,
     /// The work that each warm server was sent on average.
-    pub(crate) warm_sent: Fading,
+    pub(crate) warm_sent: DecayingSum,
     /// The most servers that were serving at a time.
     pub(crate) most: usize,
     /// With more balancers than servers, most of a server's load is other balancers' and own counts are
     /// nearly all alike. A fleet that shrinks for a while makes no balancer blind.
     pub(crate) blind: bool,
     /// The servers that the list says are serving: those that are open, and those that a cordon holds back.
-    pub(crate) serving: Pool,
-    pub(crate) held_back: Pool,
+    pub(crate) serving: SlotSet,
+    pub(crate) held_back: SlotSet,
     /// The open ones by zone and by cell, and those in other zones of the own region where regions are known.
-    pub(crate) open_in: Groups<ZoneId>,
-    pub(crate) in_cell: Groups<CellId>,
+    pub(crate) open_in: SlotGroups<ZoneId>,
+    pub(crate) in_cell: SlotGroups<CellId>,
     /// Some class may be repeated in its cell alone, so that cells have to be known.
     pub(crate) cells: bool,
-    pub(crate) region: Pool,
+    pub(crate) region: SlotSet,
     /// Those of the open ones that are suspect.
     pub(crate) suspects: BTreeSet<usize>,
     /// All that have a slot by zone.
-    pub(crate) in_zone: Groups<ZoneId>,
+    pub(crate) in_zone: SlotGroups<ZoneId>,
     pub(crate) regions: BTreeMap<ZoneId, u32>,
     /// Servers that the operators have taken out of use; beside the list, which must not lift a cordon.
     pub(crate) cordoned: BTreeSet<ServerId>,
@@ -415,7 +400,7 @@
     /// Cordons leave nothing of the list to send to.
     pub(crate) shut: bool,
     /// Open servers brought back that are still to be tried, by when.
-    pub(crate) untried: Dues,
+    pub(crate) untried: DueTimes,
     /// The server that each key was last sent to, where servers do known keys for less.
     pub(crate) key_affinity: BTreeMap<KeyId, ServerId>,
     /// Answer time of a class as a share of its aim, over all servers, leaning to the quick ones, so that a
@@ -433,7 +418,7 @@
     pub(crate) spared: Vec<bool>,
     pub(crate) median: f64,
     /// The paces of the servers that the list says are serving and that have answered.
-    pub(crate) paces: Median,
+    pub(crate) paces: RunningMedian,
     /// Those of them that are to be asked anew.
     pub(crate) paces_noted: Vec<usize>,
     /// The share of lost attempts among those of servers that are not suspect, of late.
@@ -469,28 +454,28 @@
             servers: Vec::new(),
             index: BTreeMap::new(),
             free: Vec::new(),
-            gone: Dues::default(),
+            gone: DueTimes::default(),
             live: BTreeMap::new(),
             flights: BTreeMap::new(),
             held: Vec::new(),
             memory: Vec::new(),
-            serving: Pool::default(),
-            held_back: Pool::default(),
-            open_in: Groups::default(),
-            in_cell: Groups::default(),
+            serving: SlotSet::default(),
+            held_back: SlotSet::default(),
+            open_in: SlotGroups::default(),
+            in_cell: SlotGroups::default(),
             cells: settings.classes.iter().any(in_cell),
-            region: Pool::default(),
+            region: SlotSet::default(),
             suspects: BTreeSet::new(),
-            in_zone: Groups::default(),
+            in_zone: SlotGroups::default(),
             regions: BTreeMap::new(),
             cordoned: BTreeSet::new(),
             left: BTreeSet::new(),
             shut: false,
-            untried: Dues::default(),
+            untried: DueTimes::default(),
             asking: Vec::new(),
-            warming: Dues::default(),
+            warming: DueTimes::default(),
             settled: Time(0),
-            warm_sent: Fading::default(),
+            warm_sent: DecayingSum::default(),
             most: 0,
             blind: false,
             key_affinity: BTreeMap::new(),
@@ -502,7 +487,7 @@
             counted_at: Time(0),
             spared: vec![false; classes],
             median: 0.2,
-            paces: Median::default(),
+            paces: RunningMedian::default(),
             paces_noted: Vec::new(),
             ill: 0.0,
             level: 1.0,
@@ -604,7 +589,7 @@
 
     /// Does something with each server of a zone.
     pub(crate) fn of_zone(&mut self, zone: ZoneId, mut each: impl FnMut(&mut Server)) {
-        for i in self.in_zone.of(zone).to_vec() {
+        for i in self.in_zone.members(zone).to_vec() {
             each(&mut self.servers[i]);
             self.refile(i);
         }
@@ -660,7 +645,7 @@
 
     /// Open servers that were warm at the last look at the clock.
     pub(crate) fn warm(&self) -> usize {
-        self.serving.all().len() - self.warming.len()
+        self.serving.members().len() - self.warming.len()
     }
 
     /// Keeps the regions of zones.
@@ -720,17 +705,18 @@
     /// What a round of draws is from: the own zone, the rest of the own region, and all that the rules leave.
     pub(crate) fn pool(&self, round: usize, reach: Reach) -> &[usize] {
         match (round, reach) {
-            (0, _) => self.open_in.of(self.settings.zone),
-            (1, _) => self.region.all(),
-            (_, Reach::Zone(zone)) => self.open_in.of(zone),
-            (_, Reach::Cell(cell)) => self.in_cell.of(cell),
-            _ => self.serving.all(),
+            (0, _) => self.open_in.members(self.settings.zone),
+            (1, _) => self.region.members(),
+            (_, Reach::Zone(zone)) => self.open_in.members(zone),
+            (_, Reach::Cell(cell)) => self.in_cell.members(cell),
+            _ => self.serving.members(),
         }
     }
 
     /// Any server of a zone that serves and is fit.
     pub(crate) fn one_of(&mut self, zone: ZoneId, fit: impl Fn(&Self, usize) -> bool) -> Option<usize> {
-        let there: Vec<usize> = self.open_in.of(zone).iter().copied().filter(|i| fit(self, *i)).collect();
+        let there: Vec<usize> =
+            self.open_in.members(zone).iter().copied().filter(|i| fit(self, *i)).collect();
         there.get(self.rng.usize(0..there.len().max(1))).copied()
     }
 
@@ -810,10 +796,10 @@
         for i in touched {
             self.refile(i);
             let gone = self.servers[i].listed.status == Status::Gone;
-            self.gone.set(i, gone.then(|| self.gone.at(i).unwrap_or(forget_at)));
+            self.gone.set(i, gone.then(|| self.gone.due_at(i).unwrap_or(forget_at)));
         }
         let listed = |i: &usize| self.servers[*i].listed.status != Status::Gone;
-        self.zones.retain(|zone, _| self.in_zone.of(*zone).iter().any(listed));
+        self.zones.retain(|zone, _| self.in_zone.members(*zone).iter().any(listed));
         self.look_for_ill_zones();
     }
 
@@ -939,14 +925,14 @@
             stretch: s.stretch,
             pace: s.pace,
             samples: s.samples,
-            cold_sent: s.cold_sent.now(now),
+            cold_sent: s.cold_sent.value(now),
             suspect: s.suspicion.is_some(),
         };
         Snapshot {
             level: self.level,
             median: self.median,
             class_pace: self.class_pace.clone(),
-            warm_sent: self.warm_sent.now(now),
+            warm_sent: self.warm_sent.value(now),
             servers: told.into_iter().map(lesson).collect(),
         }
     }
@@ -995,7 +981,7 @@
 
     /// The state behind the decisions in one line, for a log.
     pub fn summary(&self) -> String {
-        let serving = || self.serving.all().iter().map(|&i| &self.servers[i]);
+        let serving = || self.serving.members().iter().map(|&i| &self.servers[i]);
         let limits = serving().map(|s| s.limit);
         let suspects = self.suspects.len();
         let (least, sum) = limits.fold((f64::INFINITY, 0.0), |(least, sum), l| (least.min(l), sum + l));
@@ -1013,10 +999,3 @@
         )
     }
 }
-
-/// Moves a figure towards a new one by its gain, a quarter as fast if that is slower: a crowd must not pass
-/// for usual.
-pub(crate) fn lean(figure: &mut f64, new: f64, gain: f64) {
-    let gain = if new < *figure { gain } else { gain / 4.0 };
-    *figure += gain * (new - *figure);
-}
--- /dev/null
+++ b/src/running_median.rs
@@ -0,0 +1,60 @@
+//! The median of one value per server slot, updated at a logarithmic cost.
+
+use std::collections::BTreeSet;
+
+/// The running median, kept in two halves: of `n` values the least `n / 2` are in `lower`, so the first of `upper` is
+/// the value at index `n / 2` of all of them in order.
+#[derive(Debug, Default)]
+pub(crate) struct RunningMedian {
+    lower: BTreeSet<(i64, usize)>,
+    upper: BTreeSet<(i64, usize)>,
+    /// The sort key of each slot's value.
+    keys: Vec<Option<i64>>,
+}
+
+impl RunningMedian {
+    /// Sets or removes the value of a slot.
+    pub(crate) fn set(&mut self, slot: usize, value: Option<f64>) {
+        if self.keys.len() <= slot {
+            self.keys.resize(slot + 1, None);
+        }
+        let key = value.map(sort_key);
+        let previous = std::mem::replace(&mut self.keys[slot], key);
+        if previous == key {
+            return;
+        }
+        if let Some(previous) = previous.map(|key| (key, slot)) {
+            let _ = self.lower.remove(&previous) || self.upper.remove(&previous);
+        }
+        if let Some(entry) = key.map(|key| (key, slot)) {
+            let is_low = self.lower.last().is_some_and(|highest| entry < *highest);
+            let half = if is_low { &mut self.lower } else { &mut self.upper };
+            half.insert(entry);
+        }
+        self.balance();
+    }
+
+    fn balance(&mut self) {
+        let half = (self.lower.len() + self.upper.len()) / 2;
+        while self.lower.len() > half {
+            self.upper.extend(self.lower.pop_last());
+        }
+        while self.lower.len() < half {
+            self.lower.extend(self.upper.pop_first());
+        }
+    }
+
+    /// The median; none without a value.
+    pub(crate) fn get(&self) -> Option<f64> {
+        self.upper.first().map(|(key, _)| f64::from_bits(flip_negative(*key) as u64))
+    }
+}
+
+/// An integer that sorts like [`f64::total_cmp`]; [`flip_negative`] reverses it.
+fn sort_key(value: f64) -> i64 {
+    flip_negative(value.to_bits() as i64)
+}
+
+fn flip_negative(bits: i64) -> i64 {
+    bits ^ (((bits >> 63) as u64) >> 1) as i64
+}
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -47,20 +47,20 @@
     let those = |so: &dyn Fn(usize) -> bool| used.iter().copied().filter(|&i| so(i)).collect::<Vec<_>>();
     let open = |i: usize| b.opens(&b.servers[i]);
     assert!((0..b.servers.len()).all(|i| b.servers[i].open == (used.contains(&i) && open(i))), "open");
-    assert_eq!(sorted(b.serving.all().to_vec()), those(&open), "serving");
+    assert_eq!(sorted(b.serving.members().to_vec()), those(&open), "serving");
     let held_back = |i: usize| status(i) == Status::Serving && !open(i);
-    assert_eq!(sorted(b.held_back.all().to_vec()), those(&held_back), "held back");
+    assert_eq!(sorted(b.held_back.members().to_vec()), those(&held_back), "held back");
     for zone in (0..ZONES).map(ZoneId) {
         let there = |i: usize| b.servers[i].listed.zone == zone;
-        assert_eq!(sorted(b.open_in.of(zone).to_vec()), those(&|i| open(i) && there(i)), "{zone:?}");
-        assert_eq!(sorted(b.in_zone.of(zone).to_vec()), those(&there), "all of {zone:?}");
+        assert_eq!(sorted(b.open_in.members(zone).to_vec()), those(&|i| open(i) && there(i)), "{zone:?}");
+        assert_eq!(sorted(b.in_zone.members(zone).to_vec()), those(&there), "all of {zone:?}");
     }
     for cell in (0..CELLS).map(CellId) {
         let there = |i: usize| open(i) && b.servers[i].listed.cell == cell;
-        assert_eq!(sorted(b.in_cell.of(cell).to_vec()), those(&there), "{cell:?}");
+        assert_eq!(sorted(b.in_cell.members(cell).to_vec()), those(&there), "{cell:?}");
     }
     let region = |i: usize| open(i) && b.in_region(b.servers[i].listed.zone);
-    assert_eq!(sorted(b.region.all().to_vec()), those(&region), "region");
+    assert_eq!(sorted(b.region.members().to_vec()), those(&region), "region");
     let suspect = |i: usize| open(i) && b.servers[i].suspicion.is_some();
     assert_eq!(b.suspects.iter().copied().collect::<Vec<_>>(), those(&suspect), "suspects");
     let warm = |i: usize| open(i) && b.slow_start_factor(&b.servers[i], b.settled) >= 1.0;
@@ -70,8 +70,8 @@
     let gone = |i: usize| status(i) == Status::Gone;
     assert_eq!(sorted(b.gone.due(Time(u64::MAX)).collect()), those(&gone), "gone");
 
-    assert_eq!(b.shut, b.serving.all().is_empty() && !those(&held_back).is_empty(), "shut");
-    assert!(b.most >= b.serving.all().len(), "most");
+    assert_eq!(b.shut, b.serving.members().is_empty() && !those(&held_back).is_empty(), "shut");
+    assert!(b.most >= b.serving.members().len(), "most");
     assert!(b.memory.iter().all(|&m| open(m)), "a closed server is remembered");
     let mut out: BTreeMap<usize, u32> = BTreeMap::new();
     b.flights.values().for_each(|f| *out.entry(f.server).or_default() += 1);
@@ -198,7 +198,7 @@
         seen.suspect |= !b.suspects.is_empty();
         seen.untried |= b.untried.len() > 0;
         seen.warming |= b.warming.len() > 0;
-        seen.region |= !b.region.all().is_empty();
+        seen.region |= !b.region.members().is_empty();
         check(&mut b, rng.u32(0..6) == 0);
     }
     seen
@@ -239,7 +239,7 @@
         &mut out,
     );
     b.handle(now, Event::Endpoints(EndpointUpdate::Changes(vec![line(7)])), &mut out);
-    let order = |b: &Balancer| (b.serving.all().to_vec(), b.open_in.of(ZoneId(1)).to_vec());
+    let order = |b: &Balancer| (b.serving.members().to_vec(), b.open_in.members(ZoneId(1)).to_vec());
     let before = order(&b);
     let shuffled: Vec<Endpoint> = lines.iter().rev().cloned().collect();
     b.handle(now, Event::Endpoints(EndpointUpdate::Complete(shuffled)), &mut out);
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -127,7 +127,7 @@
 
     fn set_zone(&mut self, now: Time, at: Part, share: f64, why: &'static str, out: &mut Vec<Action>) {
         // The trials of all balancers together stay within what the zone's servers bear while they are cold.
-        let there = self.open_in.of(at.0).len().max(1);
+        let there = self.open_in.members(at.0).len().max(1);
         let bears = (self.settings.initial_capacity * self.settings.overload_factor).max(0.01)
             * AT_ONCE
             * there as f64;
