--- a/src/lib.rs
+++ b/src/lib.rs
@@ -34,6 +34,7 @@
 mod running_median;
 mod settings;
 mod slot_sets;
+mod snapshot;
 #[cfg(test)]
 mod tests;
 mod time;
@@ -46,5 +47,6 @@
 pub use ids::*;
 pub use records::Balancer;
 pub use settings::*;
+pub use snapshot::{ServerSnapshot, Snapshot};
 pub use time::*;
 pub use view::*;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -7,6 +7,7 @@
 
 use crate::moving_average::step_favoring_low;
 use crate::records::*;
+use crate::snapshot::SnapshotBounds;
 use crate::*;
 
 /// Remembered servers (m) and fresh draws (d) of each pick; the paper asks for d >= m.
@@ -59,8 +60,7 @@
 const OVERDUE_ALONE: f64 = 1.0;
 /// At most this share of the serving fleet is suspect; beyond it the trouble is not the servers'.
 const SUSPECT_SHARE: f64 = 0.75;
-/// First and longest pause between two trials of a suspect server.
-const TRIAL_FIRST: Span = Span(250_000);
+/// The longest pause between two trials of a suspect server.
 const TRIAL_MOST: Span = Span(4_000_000);
 /// The share of what an idle server leaves of the aim that an answer may wait for others: over it a server's
 /// limit shrinks, under it it grows.
@@ -229,7 +229,7 @@
                 self.set_regions(regions);
                 self.reopen(now, out);
             }
-            Event::Restore(lessons) => self.learned(now, lessons),
+            Event::Restore(snapshot) => self.restore_within_bounds(now, snapshot),
             Event::Cordon { server } => self.cordon(now, server, out),
             Event::Uncordon { server, at } => self.uncordon(now, server, at, out),
             Event::EvacuateZone { zone } => {
@@ -891,7 +891,7 @@
         if s.suspicion.is_some() || (suspects + 1) as f64 > SUSPECT_SHARE * all {
             return;
         }
-        s.suspicion = Some(Suspicion::new(now, TRIAL_FIRST));
+        s.suspicion = Some(Suspicion::new(now));
         self.memory.retain(|&m| m != server);
         let text =
             format!("server {} {why}: pace {:.2} of median {:.2}", s.listed.server.0, s.pace, self.median);
@@ -966,15 +966,11 @@
         self.pump(now, out);
     }
 
-    fn learned(&mut self, now: Time, lessons: Snapshot) {
-        let limit_least = 1.0 / f64::from(self.settings.balancers.max(1));
-        let level_least = if self.blind { LEVEL_LEAST } else { limit_least };
-        let (limit_most, pace_most, trial_pause) = (LIMIT_MOST, LATE, TRIAL_FIRST);
-        self.take_over(
-            now,
-            lessons,
-            &Bounds { level_least, limit_least, limit_most, pace_most, trial_pause },
-        );
+    fn restore_within_bounds(&mut self, now: Time, snapshot: Snapshot) {
+        let min_limit = 1.0 / f64::from(self.settings.balancers.max(1));
+        let min_level = if self.blind { LEVEL_LEAST } else { min_limit };
+        let bounds = SnapshotBounds { min_limit, max_limit: LIMIT_MOST, max_latency: LATE };
+        self.restore(now, snapshot, min_level, &bounds);
     }
 
     fn cordon(&mut self, now: Time, server: ServerId, out: &mut Vec<Action>) {
--- a/src/records.rs
+++ b/src/records.rs
@@ -4,13 +4,12 @@
 use crate::due_times::DueTimes;
 use crate::running_median::RunningMedian;
 use crate::slot_sets::{SlotGroups, SlotSet};
+use crate::snapshot::{ServerRelevance, SnapshotBounds};
 use crate::*;
-use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Servers that a balancer leaves word of for the next one: some 180 bytes each where they are written down, and their file
-/// may have 256 KiB (`agent/src/peers/handover.rs`).
-const LESSONS_MOST: usize = 1024;
+/// The first pause between two trials of a suspect server.
+pub(crate) const TRIAL_FIRST: Span = Span(250_000);
 /// Keys remembered; past that all are forgotten, which costs each of them one cold run.
 const KEYS_MOST: usize = 10_000;
 /// Traffic is counted over about this many milliseconds.
@@ -121,9 +120,9 @@
 }
 
 impl Suspicion {
-    /// One whose first trial is after this pause. It is kept apart from its server, as few servers have one.
-    pub(crate) fn new(now: Time, pause: Span) -> Box<Self> {
-        Box::new(Suspicion { next_trial: now + pause, pause, on_trial: false })
+    /// One whose first trial is after the first pause. It is kept apart from its server, as few servers have one.
+    pub(crate) fn new(now: Time) -> Box<Self> {
+        Box::new(Suspicion { next_trial: now + TRIAL_FIRST, pause: TRIAL_FIRST, on_trial: false })
     }
 }
 
@@ -209,6 +208,21 @@
         *self = Server { in_flight, uploading, last_answer, returned, try_by, pace_noted, ..new };
     }
 
+    /// What is known of this server, for the next process.
+    fn snapshot(&self, now: Time) -> ServerSnapshot {
+        ServerSnapshot {
+            server: self.listed.server,
+            started: self.listed.started,
+            limit: self.limit,
+            cut: self.cut_at > Time(0),
+            stretch: self.stretch,
+            pace: self.pace,
+            samples: self.samples,
+            cold_sent: self.cold_sent.value(now),
+            suspect: self.suspicion.is_some(),
+        }
+    }
+
     /// Own requests that it has to work on.
     pub(crate) fn at_work(&self) -> u32 {
         self.in_flight - self.uploading
@@ -505,15 +519,6 @@
     }
 }
 
-/// What is taken over is kept within these.
-pub(crate) struct Bounds {
-    pub(crate) level_least: f64,
-    pub(crate) limit_least: f64,
-    pub(crate) limit_most: f64,
-    pub(crate) pace_most: f64,
-    pub(crate) trial_pause: Span,
-}
-
 impl Balancer {
     /// Keeps the traffic of the last seconds by class and by tenant.
     pub(crate) fn count(&mut self, now: Time, request: &Request) {
@@ -548,42 +553,36 @@
         }
     }
 
-    /// Goes on from what another balancer knew, server by server while the process is the same; what makes no
-    /// sense is left out.
-    pub(crate) fn take_over(&mut self, now: Time, lessons: Snapshot, within: &Bounds) {
-        let sane = |x: f64| x.is_finite() && x > 0.0;
-        let over = 0.5 * self.settings.overload_window.as_ms();
-        if sane(lessons.level) {
-            self.level = lessons.level.clamp(within.level_least, 1.0);
-        }
-        self.median =
-            if sane(lessons.median) { lessons.median.clamp(0.01, within.pace_most) } else { self.median };
-        if lessons.class_pace.len() == self.class_pace.len() && lessons.class_pace.iter().all(|p| sane(*p)) {
-            self.class_pace = lessons.class_pace.iter().map(|pace| pace.min(within.pace_most)).collect();
-            self.class_now = self.class_pace.clone();
+    /// Restores what another balancer has learned, server by server as long as its process is the same; what is not
+    /// usable is left out.
+    pub(crate) fn restore(&mut self, now: Time, snapshot: Snapshot, min_level: f64, bounds: &SnapshotBounds) {
+        self.level = snapshot.usable_level(min_level).unwrap_or(self.level);
+        self.median = snapshot.usable_median(bounds.max_latency).unwrap_or(self.median);
+        if let Some(latencies) = snapshot.usable_class_latencies(self.class_pace.len(), bounds.max_latency) {
+            self.class_now = latencies.clone();
+            self.class_pace = latencies;
         }
-        if sane(lessons.warm_sent) {
-            self.warm_sent.add(now, over, lessons.warm_sent);
+        let load_window_ms = 0.5 * self.settings.overload_window.as_ms();
+        if let Some(work) = snapshot.usable_warm_sent() {
+            self.warm_sent.add(now, load_window_ms, work);
         }
-        for lesson in lessons.servers {
-            let Some(&i) = self.index.get(&lesson.server) else { continue };
-            let s = &mut self.servers[i];
-            let same = s.samples == 0 && s.listed.started == lesson.started;
-            if !same || ![lesson.limit, lesson.stretch].into_iter().all(sane) || !lesson.pace.is_finite() {
+        for server in snapshot.servers {
+            let Some(&slot) = self.index.get(&server.server) else { continue };
+            let s = &mut self.servers[slot];
+            if s.samples > 0 || s.listed.started != server.started {
                 continue;
             }
-            s.limit = lesson.limit.clamp(within.limit_least, within.limit_most);
-            s.cut_at = if lesson.cut { Time(1) } else { Time(0) };
-            (s.stretch, s.pace) = (lesson.stretch.clamp(0.05, 8.0), lesson.pace.clamp(0.0, within.pace_most));
-            s.samples = lesson.samples;
-            if sane(lesson.cold_sent) {
-                s.cold_sent.add(now, over, lesson.cold_sent);
+            let Some(server) = server.bounded(bounds) else { continue };
+            s.limit = server.limit;
+            s.cut_at = if server.cut { Time(1) } else { Time(0) };
+            (s.stretch, s.pace, s.samples) = (server.stretch, server.pace, server.samples);
+            if let Some(work) = server.usable_cold_sent() {
+                s.cold_sent.add(now, load_window_ms, work);
             }
-            if lesson.suspect && !self.blind {
-                let pause = within.trial_pause;
-                s.suspicion = Some(Suspicion::new(now, pause));
+            if server.suspect && !self.blind {
+                s.suspicion = Some(Suspicion::new(now));
             }
-            self.refile(i);
+            self.refile(slot);
         }
     }
 
@@ -909,31 +908,20 @@
         live.request.cost_hint.map_or_else(|| self.usual(live.request.class.0), Span::as_ms)
     }
 
-    /// What a balancer that takes over from this one should know: of a large fleet the servers that most is known of.
+    /// What the process that replaces this one should know; of a large fleet the servers that most is known of.
     pub fn snapshot(&self, now: Time) -> Snapshot {
-        let mut told: Vec<&Server> = self.servers.iter().filter(|s| s.open).collect();
-        if told.len() > LESSONS_MOST {
-            let known = |s: &&Server| Reverse((s.suspicion.is_some(), s.samples > 0, s.ended));
-            told.select_nth_unstable_by_key(LESSONS_MOST, known);
-            told.truncate(LESSONS_MOST);
-        }
-        let lesson = |s: &Server| ServerSnapshot {
-            server: s.listed.server,
-            started: s.listed.started,
-            limit: s.limit,
-            cut: s.cut_at > Time(0),
-            stretch: s.stretch,
-            pace: s.pace,
-            samples: s.samples,
-            cold_sent: s.cold_sent.value(now),
-            suspect: s.suspicion.is_some(),
-        };
+        let mut servers: Vec<&Server> = self.servers.iter().filter(|s| s.open).collect();
+        snapshot::select_servers(&mut servers, |s| ServerRelevance {
+            is_ejected: s.suspicion.is_some(),
+            is_measured: s.samples > 0,
+            last_response_at: s.ended,
+        });
         Snapshot {
             level: self.level,
             median: self.median,
             class_pace: self.class_pace.clone(),
             warm_sent: self.warm_sent.value(now),
-            servers: told.into_iter().map(lesson).collect(),
+            servers: servers.into_iter().map(|s| s.snapshot(now)).collect(),
         }
     }
 
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -157,9 +157,9 @@
             29..=30 => Event::RestoreZone { zone: ZoneId(rng.u32(0..ZONES)), at: now },
             31 => Event::Regions((0..rng.u32(0..ZONES)).map(|z| (ZoneId(z), rng.u32(0..2))).collect()),
             32 => {
-                let mut lessons = b.snapshot(now);
-                lessons.servers.iter_mut().for_each(|l| (l.samples, l.suspect) = (3, rng.u32(0..9) == 0));
-                Event::Restore(lessons)
+                let mut snapshot = b.snapshot(now);
+                snapshot.servers.iter_mut().for_each(|s| (s.samples, s.suspect) = (3, rng.u32(0..9) == 0));
+                Event::Restore(snapshot)
             }
             33..=34 => Event::ResponseAborted { server: any(&mut rng) },
             35 => Event::HealthChecked {
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,4 +1,4 @@
-//! What a balancer shows of its state: to operators, and to the process that takes over from it.
+//! What a balancer shows of its state to operators.
 
 use crate::{ClassId, ServerId, Status, Time, ZoneId};
 
@@ -61,41 +61,3 @@
     /// Since when; zero if always.
     pub since: Time,
 }
-
-/// What a balancer has learned, for the process that takes over from it.
-#[derive(Debug, Clone, PartialEq, Default)]
-pub struct Snapshot {
-    /// The admission level: the fraction of all concurrency limits that is in force.
-    pub level: f64,
-    /// The median latency of the fleet as a fraction of the latency objective.
-    pub median: f64,
-    /// The usual latency of each class as a fraction of its latency objective.
-    pub class_pace: Vec<f64>,
-    /// The work that a warmed-up server was sent recently.
-    pub warm_sent: f64,
-    /// What is known of single servers.
-    pub servers: Vec<ServerSnapshot>,
-}
-
-/// What a balancer has learned of one server.
-#[derive(Debug, Clone, PartialEq)]
-pub struct ServerSnapshot {
-    /// The server.
-    pub server: ServerId,
-    /// When the process that this was learned of started, by the endpoint list.
-    pub started: Option<Time>,
-    /// Its concurrency limit.
-    pub limit: f64,
-    /// Whether a late response has ever reduced the limit.
-    pub cut: bool,
-    /// Its latency relative to the usual latency of the class.
-    pub stretch: f64,
-    /// Its latency as a fraction of the latency objective.
-    pub pace: f64,
-    /// The number of responses that this rests on.
-    pub samples: u32,
-    /// The work that it was sent recently while it was warming up.
-    pub cold_sent: f64,
-    /// It is ejected as an outlier.
-    pub suspect: bool,
-}
