--- a/src/lib.rs
+++ b/src/lib.rs
@@ -34,6 +34,7 @@
 mod running_median;
 mod settings;
 mod slot_sets;
+mod slow_start;
 mod snapshot;
 #[cfg(test)]
 mod tests;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -28,12 +28,6 @@
 const KEPT: f64 = 0.5;
 /// And a server of its own zone, for each 1% that crossing is priced at.
 const NEAR: f64 = 0.2;
-/// A blind balancer sends a cold server this part of the overload that would push it over.
-const COLD_TRUST: f64 = 0.5;
-/// A server that the operators bring back is tried within this, at a time of each balancer's own: the tries
-/// of all must not meet on a cold server. Of more balancers than this, about as many see to it, by chance.
-const TRY_WITHIN: Span = Span(4_000_000);
-const TRIES_MOST: f64 = 8.0;
 /// Weight of a new answer in a server's pace: about the last eight answers count.
 const PACE_GAIN: f64 = 0.12;
 /// An answer counts as this many aims at most: late is late, and one costly request must not weigh like ten.
@@ -243,7 +237,7 @@
             Event::RestoreZone { zone, at } => {
                 if self.left.remove(&zone) {
                     // What was learned stands; but all balancers return in the same moment.
-                    self.of_zone(zone, |s| s.returned = Some(at));
+                    self.of_zone(zone, |s| s.slow_start.restore(at));
                     let there = self.in_zone.members(zone).to_vec();
                     there.into_iter().for_each(|i| self.try_again(i, at));
                     self.reopen(now, out);
@@ -487,11 +481,10 @@
         let rested =
             now.since(s.ended).as_ms() >= s.took * (1.0 / limit - 1.0).max(0.0) && now >= s.rest_until;
         let slow_start_factor = self.slow_start_factor(s, now);
-        let share = || slow_start_factor * self.warm_sent.value(now);
-        let owed = || s.try_by.is_some_and(|by| now >= by);
-        let cold =
-            slow_start_factor < 1.0 && self.warm() > 0 && s.cold_sent.value(now) + work > share() && !owed();
-        rested && !cold && f64::from(s.at_work()) + 1.0 <= (limit * slow_start_factor).max(1.0)
+        let open_servers = self.serving.members().len();
+        rested
+            && self.slow_start.has_budget(now, &s.slow_start, slow_start_factor, open_servers, work)
+            && f64::from(s.at_work()) + 1.0 <= (limit * slow_start_factor).max(1.0)
     }
 
     /// Fresh uniform draws from the servers that are ready for the request, and the remembered ones that are.
@@ -499,9 +492,8 @@
     /// lightest is not touched by where it was drawn. In a jam any room counts. Draws are by rejection, four
     /// tries each; only if all fail is each server looked at (`LOOKS`), and those tried before come last.
     fn candidates(&mut self, now: Time, ask: &Pick) -> Vec<usize> {
-        let owed = self.untried.due(now).take(TRIES_MOST as usize).find(|i| self.ready(now, *i, ask));
-        if let Some(untried) = owed {
-            return vec![untried];
+        if let Some(first_try) = self.slow_start.due_first_tries(now).find(|i| self.ready(now, *i, ask)) {
+            return vec![first_try];
         }
         if let Some(trial) = self.zone_trial(now, ask) {
             return vec![trial];
@@ -557,8 +549,7 @@
         }
         let slow_start_factor = self.slow_start_factor(&self.servers[i], now);
         let wins = if self.asks() { self.compared() } else { 1 };
-        let trust = (COLD_TRUST * self.settings.overload_factor).max(1.0);
-        !self.blind || slow_start_factor >= 1.0 || self.rng.f64() * (wins as f64) < trust * slow_start_factor
+        !self.blind || self.slow_start.passes_draw(slow_start_factor, wins, &mut self.rng)
     }
 
     /// The candidate with the least own load: requests in flight, scaled by what the machine costs (how slow
@@ -990,7 +981,7 @@
         let Some(&i) = self.index.get(&server) else { return };
         let s = &mut self.servers[i];
         s.renew(s.listed.clone(), LIMIT_FIRST, now);
-        s.returned = Some(at);
+        s.slow_start.restore(at);
         self.try_again(i, at);
         out.push(Action::CloseIdleConnections { server });
         self.reopen(now, out);
@@ -998,11 +989,7 @@
 
     /// One that was out of use is to be tried soon, by a few of all balancers.
     fn try_again(&mut self, i: usize, at: Time) {
-        let chance = TRIES_MOST / f64::from(self.settings.balancers.max(1));
-        let by = at + TRY_WITHIN * self.rng.f64();
-        if self.rng.f64() < chance {
-            self.servers[i].try_by = Some(by);
-        }
+        self.slow_start.schedule_first_try(&mut self.servers[i].slow_start, at, &mut self.rng);
         self.refile(i);
     }
 
--- a/src/records.rs
+++ b/src/records.rs
@@ -1,9 +1,9 @@
 //! What the decisions keep of requests, attempts and servers: records only, nothing is decided here.
 
-use crate::decaying_sum::DecayingSum;
 use crate::due_times::DueTimes;
 use crate::running_median::RunningMedian;
 use crate::slot_sets::{SlotGroups, SlotSet};
+use crate::slow_start::{ServerSlowStart, SlowStart};
 use crate::snapshot::{ServerRelevance, SnapshotBounds};
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -158,11 +158,7 @@
     pub(crate) suspicion: Option<Box<Suspicion>>,
     /// Until then a blind balancer doubts it, by what it saw itself or by hearsay.
     pub(crate) doubted_until: Time,
-    /// When the operators last brought it back, and by when it has to be tried after that.
-    pub(crate) returned: Option<Time>,
-    pub(crate) try_by: Option<Time>,
-    /// Work sent to it while it was cold.
-    pub(crate) cold_sent: DecayingSum,
+    pub(crate) slow_start: ServerSlowStart,
     /// Load by the last report, and sends since.
     pub(crate) reported: f64,
     pub(crate) reported_at: Option<Time>,
@@ -192,9 +188,7 @@
             took: 0.0,
             suspicion: None,
             doubted_until: now,
-            returned: None,
-            try_by: None,
-            cold_sent: DecayingSum::default(),
+            slow_start: ServerSlowStart::default(),
             reported: 0.0,
             reported_at: None,
             sent_since: 0,
@@ -203,9 +197,11 @@
 
     /// A new process on the same machine: what was learned of the old one says nothing, and it is cold.
     pub(crate) fn renew(&mut self, listed: Endpoint, limit: f64, now: Time) {
-        let Server { in_flight, uploading, last_answer, returned, try_by, pace_noted, .. } = *self;
+        let Server { in_flight, uploading, last_answer, pace_noted, .. } = *self;
+        let mut slow_start = std::mem::take(&mut self.slow_start);
+        slow_start.restart();
         let new = Server::new(listed, limit, now);
-        *self = Server { in_flight, uploading, last_answer, returned, try_by, pace_noted, ..new };
+        *self = Server { in_flight, uploading, last_answer, pace_noted, slow_start, ..new };
     }
 
     /// What is known of this server, for the next process.
@@ -218,7 +214,7 @@
             stretch: self.stretch,
             pace: self.pace,
             samples: self.samples,
-            cold_sent: self.cold_sent.value(now),
+            cold_sent: self.slow_start.sent(now),
             suspect: self.suspicion.is_some(),
         }
     }
@@ -383,11 +379,7 @@
     pub(crate) held: Vec<RequestId>,
     pub(crate) memory: Vec<usize>,
     pub(crate) asking: Vec<Asking>,
-    /// Serving servers that were cold at the last look at the clock by when they are warm, and when that look was.
-    pub(crate) warming: DueTimes,
-    pub(crate) settled: Time,
-    /// The work that each warm server was sent on average.
-    pub(crate) warm_sent: DecayingSum,
+    pub(crate) slow_start: SlowStart,
     /// The most servers that were serving at a time.
     pub(crate) most: usize,
     /// With more balancers than servers, most of a server's load is other balancers' and own counts are
@@ -413,8 +405,6 @@
     pub(crate) left: BTreeSet<ZoneId>,
     /// Cordons leave nothing of the list to send to.
     pub(crate) shut: bool,
-    /// Open servers brought back that are still to be tried, by when.
-    pub(crate) untried: DueTimes,
     /// The server that each key was last sent to, where servers do known keys for less.
     pub(crate) key_affinity: BTreeMap<KeyId, ServerId>,
     /// Answer time of a class as a share of its aim, over all servers, leaning to the quick ones, so that a
@@ -485,11 +475,8 @@
             cordoned: BTreeSet::new(),
             left: BTreeSet::new(),
             shut: false,
-            untried: DueTimes::default(),
             asking: Vec::new(),
-            warming: DueTimes::default(),
-            settled: Time(0),
-            warm_sent: DecayingSum::default(),
+            slow_start: SlowStart::new(&settings),
             most: 0,
             blind: false,
             key_affinity: BTreeMap::new(),
@@ -562,9 +549,8 @@
             self.class_now = latencies.clone();
             self.class_pace = latencies;
         }
-        let load_window_ms = 0.5 * self.settings.overload_window.as_ms();
         if let Some(work) = snapshot.usable_warm_sent() {
-            self.warm_sent.add(now, load_window_ms, work);
+            self.slow_start.restore_warm_sent(now, work);
         }
         for server in snapshot.servers {
             let Some(&slot) = self.index.get(&server.server) else { continue };
@@ -577,7 +563,7 @@
             s.cut_at = if server.cut { Time(1) } else { Time(0) };
             (s.stretch, s.pace, s.samples) = (server.stretch, server.pace, server.samples);
             if let Some(work) = server.usable_cold_sent() {
-                s.cold_sent.add(now, load_window_ms, work);
+                self.slow_start.restore_sent(now, &mut s.slow_start, work);
             }
             if server.suspect && !self.blind {
                 s.suspicion = Some(Suspicion::new(now));
@@ -601,15 +587,12 @@
         let s = &mut self.servers[i];
         s.open = open;
         let (zone, cell, listed) = (s.listed.zone, s.listed.cell, s.listed.status == Status::Serving);
-        let colds = self.settings.initial_capacity < 1.0 && self.settings.warm_up_time > Span::ZERO;
-        let warm_at = s.listed.started.max(s.returned).map(|at| at + self.settings.warm_up_time);
         self.serving.set(i, open);
         self.held_back.set(i, listed && !open);
         self.open_in.set(i, open.then_some(zone));
         self.in_cell.set(i, (open && self.cells).then_some(cell));
         self.in_zone.set(i, Some(zone));
-        self.warming.set(i, warm_at.filter(|at| open && colds && *at > self.settled));
-        self.untried.set(i, s.try_by.filter(|_| open));
+        self.slow_start.index(i, &s.slow_start, s.listed.started, open);
         match open && s.suspicion.is_some() {
             true => self.suspects.insert(i),
             false => self.suspects.remove(&i),
@@ -635,16 +618,8 @@
 
     /// Takes in by the clock which servers are warm by now, and which have been gone for long enough.
     pub(crate) fn settle(&mut self, now: Time) {
-        self.settled = now;
         self.free_gone(now);
-        for i in self.warming.due(now).collect::<Vec<_>>() {
-            self.warming.set(i, None);
-        }
-    }
-
-    /// Open servers that were warm at the last look at the clock.
-    pub(crate) fn warm(&self) -> usize {
-        self.serving.members().len() - self.warming.len()
+        self.slow_start.check(now);
     }
 
     /// Keeps the regions of zones.
@@ -667,7 +642,7 @@
         for i in self.gone.due(now).take(FREED_MOST).collect::<Vec<_>>() {
             let (s, server) = (&self.servers[i], self.servers[i].listed.server);
             let asked = self.asking.iter().any(|a| a.candidates.contains(&i));
-            let lately = s.returned.is_some_and(|at| now < at + while_away);
+            let lately = s.slow_start.restored_at().is_some_and(|at| now < at + while_away);
             if s.in_flight > 0 || asked || lately || self.cordoned.contains(&server) {
                 self.gone.set(i, Some(now + while_away));
                 continue;
@@ -802,15 +777,9 @@
         self.look_for_ill_zones();
     }
 
-    /// The share of its capacity that a server surely has.
+    /// The fraction of its capacity that a server has for certain.
     pub(crate) fn slow_start_factor(&self, s: &Server, now: Time) -> f64 {
-        let Some(started) = s.listed.started.max(s.returned) else { return 1.0 };
-        let (age, warm) = (now.since(started).as_ms(), self.settings.warm_up_time.as_ms());
-        if age >= warm {
-            return 1.0;
-        }
-        let cold = self.settings.initial_capacity.min(1.0);
-        cold + (1.0 - cold) * age / warm
+        self.slow_start.factor(&s.slow_start, s.listed.started, now)
     }
 
     /// The median pace of those that serve, at the cost of those whose pace has changed since the last time.
@@ -829,7 +798,8 @@
     /// Keeps what a send changes: its attempt, the counts of its server and the work that cold ones have met; `kept` if
     /// an idle connection surely stood for it.
     pub(crate) fn note_send(&mut self, now: Time, pick: &Pick, server: usize, kept: bool) {
-        let (cold, warm) = (self.slow_start_factor(&self.servers[server], now) < 1.0, self.warm());
+        let slow_start_factor = self.slow_start_factor(&self.servers[server], now);
+        let open_servers = self.serving.members().len();
         let Some(live) = self.live.get_mut(&pick.id) else { return };
         let s = &mut self.servers[server];
         let (attempt, uploading) = (live.attempts.len() as u32, live.request.uploading);
@@ -839,11 +809,8 @@
         s.uploading += u32::from(uploading);
         s.sent_since += 1;
         s.idle = if kept { s.idle - 1 } else { 0 };
-        let share = pick.work / warm.max(1) as f64;
-        let (sent, work) = if cold { (&mut s.cold_sent, pick.work) } else { (&mut self.warm_sent, share) };
-        sent.add(now, 0.5 * self.settings.overload_window.as_ms(), work);
-        s.try_by = None;
-        self.untried.set(server, None);
+        self.slow_start.record_send(now, &mut s.slow_start, slow_start_factor, open_servers, pick.work);
+        self.slow_start.index(server, &s.slow_start, s.listed.started, s.open);
         let trial = s.suspicion.is_some();
         s.suspicion.iter_mut().for_each(|q| q.on_trial = true);
         let (class, again) = (pick.class, attempt > 0);
@@ -920,7 +887,7 @@
             level: self.level,
             median: self.median,
             class_pace: self.class_pace.clone(),
-            warm_sent: self.warm_sent.value(now),
+            warm_sent: self.slow_start.warm_sent(now),
             servers: servers.into_iter().map(|s| s.snapshot(now)).collect(),
         }
     }
--- /dev/null
+++ b/src/slow_start/tests.rs
@@ -0,0 +1,73 @@
+use super::*;
+
+fn slow_start(balancers: u32) -> SlowStart {
+    SlowStart::new(&Settings {
+        balancers,
+        initial_capacity: 0.2,
+        warm_up_time: Span::from_ms(10_000.0),
+        overload_window: Span::from_ms(1000.0),
+        ..Settings::default()
+    })
+}
+
+#[test]
+fn the_factor_grows_linearly_from_the_initial_capacity_to_one() {
+    let (slow_start, server, start) = (slow_start(4), ServerSlowStart::default(), Time::from_ms(5000.0));
+    let factor = |after_ms| slow_start.factor(&server, Some(start), start + Span::from_ms(after_ms));
+    assert_eq!([factor(0.0), factor(10_000.0)], [0.2, 1.0]);
+    assert!((factor(5000.0) - 0.6).abs() < 1e-9);
+    assert_eq!(slow_start.factor(&server, None, start), 1.0, "a start that is not known was long ago");
+}
+
+#[test]
+fn a_server_that_operators_restored_warms_up_from_then_on() {
+    let (slow_start, mut server) = (slow_start(4), ServerSlowStart::default());
+    let restored_at = Time::from_ms(60_000.0);
+    server.restore(restored_at);
+    assert_eq!(slow_start.factor(&server, Some(Time::from_ms(1.0)), restored_at), 0.2);
+}
+
+#[test]
+fn a_warming_server_is_sent_its_share_of_a_warm_servers_work_and_no_more() {
+    let (mut slow_start, now) = (slow_start(4), Time::from_ms(5000.0));
+    let (mut warm, mut cold) = (ServerSlowStart::default(), ServerSlowStart::default());
+    slow_start.index(0, &warm, None, true);
+    slow_start.index(1, &cold, Some(now), true);
+    slow_start.record_send(now, &mut warm, 1.0, 2, 100.0);
+    let mut sent = 0.0;
+    while slow_start.has_budget(now, &cold, 0.2, 2, 1.0) {
+        slow_start.record_send(now, &mut cold, 0.2, 2, 1.0);
+        sent += 1.0;
+    }
+    assert_eq!(sent, 20.0);
+    let later = now + Span::from_ms(10_000.0);
+    assert!(slow_start.has_budget(later, &cold, 1.0, 2, 1.0), "a warmed-up server has no budget to keep");
+}
+
+#[test]
+fn a_due_first_try_is_made_whatever_the_budget() {
+    let (mut slow_start, mut server) = (slow_start(1), ServerSlowStart::default());
+    let (at, mut rng) = (Time::from_ms(5000.0), fastrand::Rng::with_seed(1));
+    slow_start.schedule_first_try(&mut server, at, &mut rng);
+    slow_start.index(0, &server, Some(at), true);
+    let due = at + FIRST_TRY_PERIOD;
+    assert!(!slow_start.has_budget(at, &server, 0.2, 2, 1.0));
+    assert!(slow_start.has_budget(due, &server, 0.2, 2, 1.0));
+    assert_eq!(slow_start.due_first_tries(due).collect::<Vec<_>>(), [0]);
+    slow_start.record_send(due, &mut server, 0.2, 2, 1.0);
+    assert!(!slow_start.has_budget(due, &server, 0.2, 2, 1.0), "one try is made");
+}
+
+#[test]
+fn about_as_many_balancers_make_a_first_try_however_many_there_are() {
+    for balancers in [100, 10_000] {
+        let (slow_start, mut rng) = (slow_start(balancers), fastrand::Rng::with_seed(1));
+        let mut tries = 0;
+        for _ in 0..balancers {
+            let mut server = ServerSlowStart::default();
+            slow_start.schedule_first_try(&mut server, Time(0), &mut rng);
+            tries += u32::from(server.has_first_try());
+        }
+        assert!((2..=16).contains(&tries), "{tries} of {balancers} balancers");
+    }
+}
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -63,10 +63,10 @@
     assert_eq!(sorted(b.region.members().to_vec()), those(&region), "region");
     let suspect = |i: usize| open(i) && b.servers[i].suspicion.is_some();
     assert_eq!(b.suspects.iter().copied().collect::<Vec<_>>(), those(&suspect), "suspects");
-    let warm = |i: usize| open(i) && b.slow_start_factor(&b.servers[i], b.settled) >= 1.0;
-    assert_eq!(b.warm(), those(&warm).len(), "warm");
-    let untried = |i: usize| open(i) && b.servers[i].try_by.is_some();
-    assert_eq!(sorted(b.untried.due(Time(u64::MAX)).collect()), those(&untried), "untried");
+    let warm = |i: usize| open(i) && b.slow_start_factor(&b.servers[i], b.slow_start.checked_at()) >= 1.0;
+    assert_eq!(b.slow_start.warm_count(b.serving.members().len()), those(&warm).len(), "warm");
+    let first_try = |i: usize| open(i) && b.servers[i].slow_start.has_first_try();
+    assert_eq!(sorted(b.slow_start.all_first_tries()), those(&first_try), "first tries");
     let gone = |i: usize| status(i) == Status::Gone;
     assert_eq!(sorted(b.gone.due(Time(u64::MAX)).collect()), those(&gone), "gone");
 
@@ -93,7 +93,7 @@
 struct Seen {
     reused: bool,
     suspect: bool,
-    untried: bool,
+    first_try: bool,
     warming: bool,
     region: bool,
 }
@@ -108,7 +108,7 @@
     let mut flights: Vec<(RequestId, u32, Time)> = Vec::new();
     let mut sent: BTreeMap<RequestId, u32> = BTreeMap::new();
     let mut next = 0;
-    let mut seen = Seen { reused: false, suspect: false, untried: false, warming: false, region: false };
+    let mut seen = Seen { reused: false, suspect: false, first_try: false, warming: false, region: false };
     for step in 0..steps {
         now = now + Span(rng.u64(0..40_000)) + Span::from_ms(if rng.u32(0..200) == 0 { 4000.0 } else { 0.0 });
         let free = b.free.len();
@@ -196,8 +196,8 @@
         }
         seen.reused |= b.free.len() < free;
         seen.suspect |= !b.suspects.is_empty();
-        seen.untried |= b.untried.len() > 0;
-        seen.warming |= b.warming.len() > 0;
+        seen.first_try |= !b.slow_start.all_first_tries().is_empty();
+        seen.warming |= b.slow_start.warming_count() > 0;
         seen.region |= !b.region.members().is_empty();
         check(&mut b, rng.u32(0..6) == 0);
     }
@@ -211,7 +211,7 @@
     let counts = [
         ("reused", most(|s| s.reused)),
         ("suspect", most(|s| s.suspect)),
-        ("untried", most(|s| s.untried)),
+        ("first try", most(|s| s.first_try)),
         ("warming", most(|s| s.warming)),
         ("region", most(|s| s.region)),
     ];
