--- a/src/lib.rs
+++ b/src/lib.rs
@@ -31,6 +31,7 @@
 mod logic;
 mod moving_average;
 mod records;
+mod retries;
 mod running_median;
 mod settings;
 mod slot_sets;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -7,6 +7,7 @@
 
 use crate::moving_average::step_favoring_low;
 use crate::records::*;
+use crate::retries::{AttemptHistory, PermittedActions, RetryScope};
 use crate::snapshot::SnapshotBounds;
 use crate::*;
 
@@ -93,11 +94,6 @@
 const LIMIT_SOON: f64 = 6.0;
 const GROWTH_QUICK: f64 = 0.5;
 const LIMIT_MOST: f64 = 1000.0;
-/// Each request earns this much of a further attempt, saved up to the burst: the most while answers come in
-/// time, as the fleet then has room for it, and the least from a level of a half down, or it feeds a jam.
-const RETRY_EARN: f64 = 0.1;
-const RETRY_ROOMY: f64 = 0.4;
-const RETRY_BURST: f64 = 10.0;
 /// How often the balancer looks around when it holds requests, and when it does not.
 const TICK_BUSY: Span = Span(10_000);
 const TICK_IDLE: Span = Span(50_000);
@@ -151,7 +147,7 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let mut blank = Balancer::blank(settings, seed);
-        (blank.retries, blank.tell_bytes) = (RETRY_BURST, TELL_SAVED);
+        blank.tell_bytes = TELL_SAVED;
         blank.ask_pause = blank.ask_round();
         Ok(blank)
     }
@@ -182,7 +178,7 @@
             Event::Request(request) => self.arrive(now, request, out),
             Event::FirstByte { request, attempt } => {
                 if let Some(live) = self.live.get_mut(&request) {
-                    live.bound = (attempt.0 as usize) < live.attempts.len();
+                    live.history.record_first_byte(attempt);
                 }
             }
             Event::Outcome { request, attempt, outcome, elapsed, report, closed } => {
@@ -191,7 +187,7 @@
             Event::BodyComplete { request, time_left } => self.uploaded(now, request, time_left),
             Event::BodyConsumed { request } => {
                 if let Some(live) = self.live.get_mut(&request) {
-                    live.spent = true;
+                    live.history.record_body_consumed();
                 }
             }
             Event::ResponseAborted { server } => {
@@ -266,15 +262,12 @@
         let wanted_by = (now + latency_objective.saturating_sub(spent)).min(deadline);
         self.count(now, &request);
         let over_share = self.over_share(&request);
-        let (attempts, bound, spent) = (Vec::new(), false, false);
-        let live = Live { request, deadline, wanted_by, attempts, bound, spent, over_share };
+        let history = AttemptHistory::default();
+        let live = Live { request, deadline, wanted_by, history, over_share };
         let hopeless = self.hopeless(now, &live);
         self.live.insert(id, live);
-        // Many balancers that each save up a burst would all spend it in the same jam.
         self.tell_bytes = (self.tell_bytes + TELL_EARN).min(TELL_SAVED);
-        let burst = if self.blind { 1.0 } else { RETRY_BURST };
-        let room = (2.0 * self.level - 1.0).max(0.0);
-        self.retries = (self.retries + RETRY_EARN + (RETRY_ROOMY - RETRY_EARN) * room).min(burst);
+        self.retry_budget.earn(self.level, self.blind);
         // A blind balancer's limits per server bind nothing: by chance it lets in what the level says.
         if hopeless || (self.blind && self.rng.f64() >= self.level) {
             self.end(now, id, out);
@@ -337,47 +330,20 @@
         }
     }
 
-    /// What the rules still allow; the whole of "no effect happens twice" is here.
-    pub(crate) fn lawful(&self, live: &Live, now: Time) -> Lawful {
+    /// What may still be done with a request.
+    pub(crate) fn permitted_actions(&self, live: &Live, now: Time) -> PermittedActions {
         let class = &self.settings.classes[live.request.class.0];
-        let out = live.attempts.iter().any(|a| a.fate == Fate::Out);
-        let first = live.attempts.iter().find(|a| a.fate != Fate::NeverRan);
-        let full = live.attempts.len() >= self.settings.max_attempts as usize;
-        let shut =
-            full || live.bound || live.spent || now >= live.deadline || (out && !self.settings.hedging);
-        let send = match (first, class.idempotency) {
-            _ if shut => Reach::Nowhere,
-            (None, _) | (_, Idempotency::Idempotent) => Reach::Anywhere,
-            (Some(_), Idempotency::AtMostOnce) => Reach::Nowhere,
-            (Some(first), Idempotency::Deduplicated { window, .. }) if now > first.sent + window => {
-                Reach::Nowhere
-            }
-            (Some(first), Idempotency::Deduplicated { scope, .. }) => match scope {
-                DeduplicationScope::All => Reach::Anywhere,
-                DeduplicationScope::Zone => Reach::Zone(first.zone),
-                DeduplicationScope::Cell => Reach::Cell(first.cell),
-            },
-        };
-        let refuse = match (first, class.idempotency) {
-            (None, _) | (_, Idempotency::Idempotent) => true,
-            (Some(_), Idempotency::AtMostOnce) => false,
-            (Some(_), Idempotency::Deduplicated { scope, .. }) => scope == DeduplicationScope::All,
-        };
-        Lawful { send, refuse: refuse && !live.bound }
+        live.history.permitted_actions(now, live.deadline, class, &self.settings)
     }
 
-    /// Whether an attempt whose first byte can go out only now may still begin. While its connection came up
-    /// its server may have begun to drain, its request have ended, and the window for repeats have closed.
+    /// Whether an attempt whose first byte can be sent only now may still begin. While its connection was established,
+    /// its server may have begun to drain, its request have ended, and the window for retries have closed.
     pub fn may_begin(&self, now: Time, request: RequestId, attempt: AttemptNo) -> bool {
         let Some(live) = self.live.get(&request) else { return false };
-        let (earlier, rest) = live.attempts.split_at((attempt.0 as usize).min(live.attempts.len()));
-        let first = earlier.iter().find(|a| a.fate != Fate::NeverRan);
-        let late = match (first, self.settings.classes[live.request.class.0].idempotency) {
-            (Some(first), Idempotency::Deduplicated { window, .. }) => now > first.sent + window,
-            _ => false,
-        };
-        let this = rest.first().and_then(|this| self.index.get(&this.server));
-        !late && this.is_some_and(|&i| self.servers[i].open)
+        let class = &self.settings.classes[live.request.class.0];
+        let server = live.history.may_begin(now, attempt, class);
+        let slot = server.and_then(|server| self.index.get(&server));
+        slot.is_some_and(|&slot| self.servers[slot].open)
     }
 
     // ---- the pick -----------------------------------------------------------------------------------
@@ -386,7 +352,7 @@
     fn place(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(live) = self.live.get(&id) else { return true };
         let pick = self.pick_for(now, live);
-        if pick.reach == Reach::Nowhere {
+        if pick.reach == RetryScope::Nowhere {
             return false;
         }
         let candidates = self.candidates(now, &pick);
@@ -459,13 +425,7 @@
     /// Whether a server may be sent this request now, be it suspect or not.
     pub(crate) fn allowed(&self, now: Time, i: usize, ask: &Pick) -> bool {
         let s = &self.servers[i];
-        let lawful = match ask.reach {
-            Reach::Nowhere => false,
-            Reach::Anywhere => true,
-            Reach::Zone(zone) => s.listed.zone == zone,
-            Reach::Cell(cell) => s.listed.cell == cell,
-        };
-        lawful && s.open && self.has_room(now, s, ask.work)
+        ask.reach.contains(&s.listed) && s.open && self.has_room(now, s, ask.work)
     }
 
     /// Room by the learned limit; where that says nothing, only a server that was full is given a rest. A
@@ -665,8 +625,7 @@
         if closed {
             self.live.remove(&id);
         } else if let Some(live) = self.live.get_mut(&id) {
-            let fate = if outcome.is_not_executed() { Fate::NeverRan } else { Fate::MayHaveRun };
-            live.attempts[key.1 as usize].fate = fate;
+            live.history.record_end(key.1, outcome.is_not_executed());
             if live.request.uploading {
                 // Its body waits with the client for the next attempt.
                 live.begin(
@@ -694,14 +653,14 @@
     /// The request still owes its answer after an attempt has failed.
     fn follow_up(&mut self, now: Time, id: RequestId, outcome: Outcome, out: &mut Vec<Action>) {
         let live = &self.live[&id];
-        if live.attempts.iter().any(|a| a.fate == Fate::Out) {
+        if live.history.is_in_flight() {
             return;
         }
         let useful = !self.hopeless(now, live);
-        let paid = outcome.is_not_executed() || self.retries >= 1.0;
-        if self.lawful(live, now).send != Reach::Nowhere && useful && paid {
+        let paid = outcome.is_not_executed() || self.retry_budget.has_token();
+        if self.permitted_actions(live, now).send != RetryScope::Nowhere && useful && paid {
             if !outcome.is_not_executed() {
-                self.retries -= 1.0;
+                self.retry_budget.spend();
             }
             if !self.place(now, id, out) {
                 self.hold(now, id, out);
@@ -714,7 +673,7 @@
     /// The final answer from here: a refusal if that is true to the client, else a failure.
     fn end(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(live) = self.live.remove(&id) else { return };
-        if self.lawful(&live, now).refuse {
+        if self.permitted_actions(&live, now).reject {
             let advice = self.settings.classes[live.request.class.0]
                 .latency_objective
                 .min(self.settings.max_retry_after);
@@ -1054,12 +1013,10 @@
         safe: bool,
         out: &mut Vec<Action>,
     ) -> bool {
-        let Some(live) = self.live.get(&key.0).filter(|live| !live.bound) else { return false };
-        let (tries, idempotency) =
-            (live.attempts.len() as u32, self.settings.classes[live.request.class.0].idempotency);
-        let spare = tries == key.1 + 1 && tries < self.settings.max_attempts && self.retries >= 1.0;
-        let may = idempotency == Idempotency::Idempotent || !safe && idempotency != Idempotency::AtMostOnce;
-        let called = may && spare && self.settings.cancel && !self.hopeless(now, live);
+        let Some(live) = self.live.get(&key.0) else { return false };
+        let class = &self.settings.classes[live.request.class.0];
+        let may_cancel = live.history.may_cancel(key.1, class, &self.settings, safe);
+        let called = may_cancel && self.retry_budget.has_token() && !self.hopeless(now, live);
         if let Some(flight) = self.flights.get_mut(&key).filter(|_| called) {
             flight.called = true;
             out.push(Action::Cancel { request: key.0, attempt: AttemptNo(key.1) });
--- a/src/records.rs
+++ b/src/records.rs
@@ -1,6 +1,7 @@
 //! What the decisions keep of requests, attempts and servers: records only, nothing is decided here.
 
 use crate::due_times::DueTimes;
+use crate::retries::{AttemptHistory, RetryBudget, RetryScope};
 use crate::running_median::RunningMedian;
 use crate::slot_sets::{SlotGroups, SlotSet};
 use crate::slow_start::{ServerSlowStart, SlowStart};
@@ -20,15 +21,6 @@
 /// How an attempt ended, after how long, and the report that came with it.
 pub(crate) type Ended = (Outcome, Span, Option<Vec<f64>>);
 
-/// Where a request may still go.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Reach {
-    Nowhere,
-    Anywhere,
-    Zone(ZoneId),
-    Cell(CellId),
-}
-
 /// A request whose candidates have been asked for their load.
 pub(crate) struct Asking {
     pub(crate) id: RequestId,
@@ -41,7 +33,7 @@
 pub(crate) struct Pick {
     pub(crate) id: RequestId,
     pub(crate) class: usize,
-    pub(crate) reach: Reach,
+    pub(crate) reach: RetryScope,
     pub(crate) work: f64,
     /// How much its work weighs a machine's slowness.
     pub(crate) heavy: f64,
@@ -52,39 +44,13 @@
     pub(crate) tried: Vec<usize>,
 }
 
-/// What may still be done with a request.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Lawful {
-    pub(crate) send: Reach,
-    pub(crate) refuse: bool,
-}
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Fate {
-    Out,
-    NeverRan,
-    MayHaveRun,
-}
-
-#[derive(Debug, Clone)]
-pub(crate) struct Attempt {
-    pub(crate) server: ServerId,
-    pub(crate) zone: ZoneId,
-    pub(crate) cell: CellId,
-    pub(crate) sent: Time,
-    pub(crate) fate: Fate,
-}
-
 /// The one record of an accepted request; it goes when the request has its final answer.
 pub(crate) struct Live {
     pub(crate) request: Request,
     pub(crate) deadline: Time,
     /// After this an answer is worth nothing more, or less.
     pub(crate) wanted_by: Time,
-    pub(crate) attempts: Vec<Attempt>,
-    pub(crate) bound: bool,
-    /// Its body is not there to be sent again.
-    pub(crate) spent: bool,
+    pub(crate) history: AttemptHistory,
     /// Its tenant had its share already; worth little if that is so.
     pub(crate) over_share: bool,
 }
@@ -439,7 +405,7 @@
     pub(crate) tell_bytes: f64,
     /// What the last reports said on average.
     pub(crate) crowd: f64,
-    pub(crate) retries: f64,
+    pub(crate) retry_budget: RetryBudget,
     pub(crate) ask_pause: Span,
     pub(crate) ask_at: Option<Time>,
     pub(crate) tick_at: Time,
@@ -497,7 +463,7 @@
             kinds: BTreeMap::new(),
             zones: BTreeMap::new(),
             zones_ill: false,
-            retries: 0.0,
+            retry_budget: RetryBudget::new(),
             ask_pause: Span::ZERO,
             ask_at: None,
             tick_at: Time(0),
@@ -677,12 +643,12 @@
     }
 
     /// What a round of draws is from: the own zone, the rest of the own region, and all that the rules leave.
-    pub(crate) fn pool(&self, round: usize, reach: Reach) -> &[usize] {
+    pub(crate) fn pool(&self, round: usize, reach: RetryScope) -> &[usize] {
         match (round, reach) {
             (0, _) => self.open_in.members(self.settings.zone),
             (1, _) => self.region.members(),
-            (_, Reach::Zone(zone)) => self.open_in.members(zone),
-            (_, Reach::Cell(cell)) => self.in_cell.members(cell),
+            (_, RetryScope::Zone(zone)) => self.open_in.members(zone),
+            (_, RetryScope::Cell(cell)) => self.in_cell.members(cell),
             _ => self.serving.members(),
         }
     }
@@ -802,9 +768,8 @@
         let open_servers = self.serving.members().len();
         let Some(live) = self.live.get_mut(&pick.id) else { return };
         let s = &mut self.servers[server];
-        let (attempt, uploading) = (live.attempts.len() as u32, live.request.uploading);
-        let Endpoint { server: id, zone, cell, .. } = s.listed;
-        live.attempts.push(Attempt { server: id, zone, cell, sent: now, fate: Fate::Out });
+        let uploading = live.request.uploading;
+        let attempt = live.history.record_send(now, &s.listed);
         s.in_flight += 1;
         s.uploading += u32::from(uploading);
         s.sent_since += 1;
@@ -840,13 +805,13 @@
         Pick {
             id: live.request.id,
             class,
-            reach: self.lawful(live, now).send,
+            reach: self.permitted_actions(live, now).send,
             work: self.work(live),
             heavy: (self.work(live) / self.usual(class)).clamp(1.0, 9.0).sqrt(),
             safe: self.settings.classes[class].idempotency == Idempotency::Idempotent,
             key,
             warm: key.and_then(|k| self.key_affinity.get(&k)).and_then(slot).copied(),
-            tried: live.attempts.iter().filter_map(|a| slot(&a.server)).copied().collect(),
+            tried: live.history.servers().filter_map(|server| slot(&server)).copied().collect(),
         }
     }
 
@@ -950,7 +915,7 @@
             self.median,
             self.class_pace,
             self.class_now,
-            self.retries,
+            self.retry_budget.tokens(),
         )
     }
 }
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -83,9 +83,9 @@
         let there = |f: &Flight| !f.called && self.servers[f.server].listed.zone == zone;
         let keys: Vec<_> = self.flights.iter().filter(|(_, f)| there(f)).map(|(key, _)| *key).collect();
         for key in keys {
-            self.retries += 1.0;
+            self.retry_budget.grant();
             if !self.call_back(now, key, true, out) {
-                self.retries -= 1.0;
+                self.retry_budget.spend();
             }
             self.flights.get_mut(&key).into_iter().for_each(|flight| flight.counted = true);
         }
