--- a/src/lib.rs
+++ b/src/lib.rs
@@ -28,6 +28,7 @@
 mod endpoint;
 mod event;
 mod ids;
+mod latency;
 mod logic;
 mod moving_average;
 mod records;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -5,7 +5,7 @@
 //! `outcome` learns from the answer and decides what follows, `end` gives the one final answer. `tick` looks
 //! after silent servers, held requests and the list.
 
-use crate::moving_average::step_favoring_low;
+use crate::latency::{ServerLatency, LATE, RESPONSE_GAIN};
 use crate::records::*;
 use crate::retries::{AttemptHistory, PermittedActions, RetryScope};
 use crate::snapshot::SnapshotBounds;
@@ -29,16 +29,6 @@
 const KEPT: f64 = 0.5;
 /// And a server of its own zone, for each 1% that crossing is priced at.
 const NEAR: f64 = 0.2;
-/// Weight of a new answer in a server's pace: about the last eight answers count.
-const PACE_GAIN: f64 = 0.12;
-/// An answer counts as this many aims at most: late is late, and one costly request must not weigh like ten.
-const LATE: f64 = 1.0;
-/// Weight of a new answer in its class's pace; a slower one counts a quarter.
-const CLASS_GAIN: f64 = 0.04;
-/// A server is slow at this multiple of the fleet's median pace; under it, counts alone shift the load.
-const SLOW: f64 = 3.0;
-/// Answers needed before a server can be called slow; one costly request is no evidence.
-const SLOW_SAMPLES: u32 = 4;
 /// Failures in a row, with no success between, that make a server suspect: as many as chance brings no more
 /// often than this at the rate of the whole fleet, and no fewer than these.
 const BY_CHANCE: f64 = 0.002;
@@ -126,11 +116,6 @@
 const TELL_MOST: u32 = 64;
 const TELL_EARN: f64 = 25.0;
 const TELL_SAVED: f64 = 512.0;
-/// Answers that the pace of a kind of machine remembers at most, those that it counts for beside a server's
-/// own, and those that a server's own count for at most.
-const KIND_MOST: f64 = 12.0;
-const KIND_WORTH: f64 = 4.0;
-const OWN_MOST: f64 = 8.0;
 /// Candidates are asked for their load where all probes of a pick cost this much at most, and for this share
 /// of the aim.
 const ASK_PRICE: f64 = 0.01;
@@ -208,7 +193,7 @@
                 let Some(&s) = self.index.get(&server) else { return };
                 self.zone_probed(now, s, outcome == Outcome::Success);
                 match report {
-                    Some(report) => self.read_report(now, s, &report, PACE_GAIN),
+                    Some(report) => self.read_report(now, s, &report, RESPONSE_GAIN),
                     None if outcome != Outcome::Success => self.suspect(now, s, "silent to probes", out),
                     None => {}
                 }
@@ -289,7 +274,7 @@
     /// goal that hangs on the worst class; the set that frees most work for its cost gives way.
     fn rank_classes(&mut self) {
         let classes = &self.settings.classes;
-        let work = |c: usize| self.asked[c] * self.usual(c);
+        let work = |c: usize| self.asked[c] * self.latencies.usual_ms(c);
         let priority_weight = |c: usize| {
             classes[c].priority_weight * if self.settings.weight_by_work { work(c) } else { self.asked[c] }
         };
@@ -312,7 +297,7 @@
     /// Sent now, it would not be answered while that is worth something; or there is nowhere to send it.
     fn hopeless(&self, now: Time, live: &Live) -> bool {
         let c = &self.settings.classes[live.request.class.0];
-        let soon = c.latency_objective * (0.7 * self.class_pace[live.request.class.0]);
+        let soon = c.latency_objective * (0.7 * self.latencies.usual(live.request.class.0));
         self.shut || now + soon >= if c.late_weight > 0.0 { live.deadline } else { live.wanted_by }
     }
 
@@ -537,7 +522,7 @@
                 let known = if pick.warm == Some(c) { WARM } else { 1.0 };
                 // A suspect drawn for its trial goes first: by its own record it would never be tried.
                 let count = if s.suspicion.is_some() { 0.0 } else { f64::from(s.in_flight) + 1.0 };
-                let load = (count * far * (s.stretch * known).powf(0.5 * pick.heavy)).ln();
+                let load = (count * far * (s.latency.slowdown() * known).powf(0.5 * pick.heavy)).ln();
                 ((load / ALIKE).round() as i64, report.round() as i64, coin.to_bits())
             };
             if best.is_none_or(|(least, _)| key < least) {
@@ -556,13 +541,11 @@
         let news = s.reported_at.map_or(0.0, |at| (-now.since(at).as_ms() / NEWS_MS).exp());
         let waiting = news * (s.reported + f64::from(s.sent_since)) + (1.0 - news) * self.crowd;
         let doubt = if now < s.doubted_until { DOUBTED } else { 1.0 };
-        let kind = self.kinds.get(&s.listed.kind).map_or(self.median, |k| k.0);
-        let own = f64::from(s.samples).min(OWN_MOST);
-        let pace = (kind * KIND_WORTH + s.pace * own) / (KIND_WORTH + own);
+        let latency = self.latencies.expected(s.listed.kind, &s.latency);
         let prices = &self.settings.prices;
         let kept = if self.kept(s, now) { 100.0 * KEPT * prices.handshake } else { 0.0 };
         let near = if s.listed.zone == self.settings.zone { 100.0 * NEAR * prices.cross_zone } else { 0.0 };
-        (1.0 + kept) * (1.0 + near) * doubt * size / (1.0 + waiting) / pace.max(0.01).powi(3)
+        (1.0 + kept) * (1.0 + near) * doubt * size / (1.0 + waiting) / latency.max(0.01).powi(3)
     }
 
     /// Whether this is a blind balancer that keeps its connections, as fresh ones have a price.
@@ -615,7 +598,7 @@
         let (outcome, elapsed, report) = ended;
         self.note_end(now, &flight, outcome);
         if let Some(report) = report {
-            self.read_report(now, flight.server, &report, PACE_GAIN);
+            self.read_report(now, flight.server, &report, RESPONSE_GAIN);
         }
         self.zone_learns(now, &flight, &(outcome, elapsed, None), out);
         self.learn(now, &flight, outcome, elapsed, out);
@@ -697,7 +680,7 @@
         held.retain(|&id| {
             let Some(live) = self.live.get(&id) else { return false };
             let class = live.request.class.0;
-            let margin = (WAIT_MARGIN * self.class_now[class]).min(WAIT_MOST);
+            let margin = (WAIT_MARGIN * self.latencies.current(class)).min(WAIT_MOST);
             if self.hopeless(now, live)
                 || now + self.settings.classes[class].latency_objective * margin >= live.wanted_by
             {
@@ -714,7 +697,7 @@
     fn learn(&mut self, now: Time, flight: &Flight, outcome: Outcome, elapsed: Span, out: &mut Vec<Action>) {
         let latency_objective = self.settings.classes[flight.class].latency_objective.as_ms();
         let least = 1.0 / f64::from(self.settings.balancers.max(1));
-        let (median, own, blind) = (self.median, self.servers[flight.server].at_work(), self.blind);
+        let (own, blind) = (self.servers[flight.server].at_work(), self.blind);
         let used = match outcome {
             Outcome::Success => (elapsed.as_ms() / latency_objective).min(LATE),
             // Called back is not stopped: the work may still stand in the server's queue.
@@ -725,7 +708,7 @@
             self.set_level(used);
         }
         let s = &mut self.servers[flight.server];
-        let idle = (self.class_pace[flight.class] * s.stretch).min(1.0);
+        let idle = self.latencies.idle(flight.class, &s.latency);
         let target = idle + TARGET * (1.0 - idle);
         match outcome {
             Outcome::NotSent | Outcome::Cancelled | Outcome::TimedOut => {}
@@ -736,15 +719,7 @@
                 if used < 1.0 {
                     s.doubted_until = now;
                 }
-                step_favoring_low(&mut self.class_pace[flight.class], used, CLASS_GAIN);
-                step_favoring_low(
-                    &mut s.stretch,
-                    (used / self.class_pace[flight.class].max(0.001)).min(8.0),
-                    CLASS_GAIN,
-                );
-                s.stretch = s.stretch.max(0.05);
-                let current = &mut self.class_now[flight.class];
-                *current += PACE_GAIN * (used - *current);
+                self.latencies.record_success(flight.class, &mut s.latency, used);
             }
             // A full server is no sick one: it is only sent less.
             Outcome::Rejected => s.last_answer = now,
@@ -761,14 +736,10 @@
             }
         }
         if used > 0.0 {
-            let (pace, n) = self.kinds.entry(s.listed.kind).or_insert((median, 1.0));
-            *n = (*n + 1.0).min(KIND_MOST);
-            *pace += (used - *pace) / *n;
-            s.pace = if s.samples == 0 { used } else { s.pace + PACE_GAIN * (used - s.pace) };
-            s.samples += 1;
+            self.latencies.record_latency(s.listed.kind, &mut s.latency, used);
             // Slower than the pace forgets, or its lag would drive the limit down too far. A full queue is
             // sure evidence and counts at once, a late answer only at a slow pace: alone it may be costly.
-            let over = (s.pace / target - 1.0).min(2.0);
+            let over = (s.latency.smoothed() / target - 1.0).min(2.0);
             let sure = used >= 1.0 && (over > 0.0 || outcome != Outcome::Success);
             // What was sent before the last cut tells of the same stand-still again.
             let factor = match sure {
@@ -787,14 +758,15 @@
             (s.ended, s.took) = (now, elapsed.as_ms());
             if outcome == Outcome::Rejected {
                 s.took = latency_objective;
-                s.rest_until = now + Span::from_ms(latency_objective * self.class_pace[flight.class]);
+                s.rest_until = now + Span::from_ms(latency_objective * self.latencies.usual(flight.class));
             }
         }
         if flight.trial {
-            let good = outcome == Outcome::Success && used < SLOW * median.max(0.1);
+            let good = outcome == Outcome::Success && self.latencies.is_good_probation(used);
             if good {
                 s.suspicion = None;
-                (s.pace, s.samples, s.failures, s.stretch) = (used, 1, 0, 1.0);
+                s.latency = ServerLatency::after_probation(used);
+                s.failures = 0;
             } else if let Some(q) = &mut s.suspicion {
                 q.on_trial = false;
                 q.pause = (q.pause * 2.0).min(TRIAL_MOST);
@@ -802,7 +774,7 @@
             }
             return;
         }
-        let slow = s.samples >= SLOW_SAMPLES && s.pace > SLOW * median && s.pace > TARGET;
+        let slow = self.latencies.is_slow(&s.latency);
         let late = self.blind && used >= 1.0 && outcome != Outcome::Rejected;
         let failed = outcome.is_failure();
         let fails = self.fails(flight.server, (failed || used > 0.0).then_some(failed));
@@ -843,8 +815,12 @@
         }
         s.suspicion = Some(Suspicion::new(now));
         self.memory.retain(|&m| m != server);
-        let text =
-            format!("server {} {why}: pace {:.2} of median {:.2}", s.listed.server.0, s.pace, self.median);
+        let text = format!(
+            "server {} {why}: pace {:.2} of median {:.2}",
+            s.listed.server.0,
+            s.latency.smoothed(),
+            self.latencies.median()
+        );
         out.push(Action::Log { server: Some(s.listed.server), zone: None, text });
         self.refile(server);
     }
@@ -965,7 +941,7 @@
             self.ask_at = None;
             out.push(Action::Watch { active: true });
         }
-        self.set_median();
+        self.update_median_latency();
         self.settle(now);
         self.rank_classes();
         self.find_silent(now, out);
@@ -982,7 +958,11 @@
                 (&self.servers[flight.server], self.settings.classes[flight.class].latency_objective);
             let least = if server.in_flight > 1 { OVERDUE_LEAST } else { OVERDUE_ALONE };
             let work = self.live.get(&key.0).map_or(0.0, |live| self.work(live));
-            let pace = self.class_pace[flight.class].max(self.median).max(work / latency_objective.as_ms());
+            let pace = self
+                .latencies
+                .usual(flight.class)
+                .max(self.latencies.median())
+                .max(work / latency_objective.as_ms());
             let wait = latency_objective * (OVERDUE * pace).max(least);
             let quiet = server.last_answer < flight.sent;
             let out = !flight.uploading && !flight.called && now.since(flight.sent) > wait;
--- a/src/records.rs
+++ b/src/records.rs
@@ -1,8 +1,8 @@
 //! What the decisions keep of requests, attempts and servers: records only, nothing is decided here.
 
 use crate::due_times::DueTimes;
+use crate::latency::{Latencies, ServerLatency};
 use crate::retries::{AttemptHistory, RetryBudget, RetryScope};
-use crate::running_median::RunningMedian;
 use crate::slot_sets::{SlotGroups, SlotSet};
 use crate::slow_start::{ServerSlowStart, SlowStart};
 use crate::snapshot::{ServerRelevance, SnapshotBounds};
@@ -99,13 +99,7 @@
     pub(crate) in_flight: u32,
     /// Those of them whose requests are still coming.
     pub(crate) uploading: u32,
-    /// Answer time over its class's usual, leaning to the quick ones: how slow the machine itself is.
-    pub(crate) stretch: f64,
-    /// Smoothed answer time as a share of the class's aim.
-    pub(crate) pace: f64,
-    /// Its pace may have changed since the last median.
-    pub(crate) pace_noted: bool,
-    pub(crate) samples: u32,
+    pub(crate) latency: ServerLatency,
     pub(crate) failures: u32,
     /// Answers that broke off of late.
     pub(crate) broken: f64,
@@ -138,10 +132,7 @@
             open: false,
             in_flight: 0,
             uploading: 0,
-            stretch: 1.0,
-            pace: 0.0,
-            pace_noted: false,
-            samples: 0,
+            latency: ServerLatency::new(),
             failures: 0,
             broken: 0.0,
             last_answer: now,
@@ -163,11 +154,17 @@
 
     /// A new process on the same machine: what was learned of the old one says nothing, and it is cold.
     pub(crate) fn renew(&mut self, listed: Endpoint, limit: f64, now: Time) {
-        let Server { in_flight, uploading, last_answer, pace_noted, .. } = *self;
+        let Server { in_flight, uploading, last_answer, .. } = *self;
         let mut slow_start = std::mem::take(&mut self.slow_start);
         slow_start.restart();
         let new = Server::new(listed, limit, now);
-        *self = Server { in_flight, uploading, last_answer, pace_noted, slow_start, ..new };
+        *self = Server { in_flight, uploading, last_answer, slow_start, ..new };
+    }
+
+    /// Its latency, if that counts in the median.
+    pub(crate) fn judged_latency(&self) -> Option<f64> {
+        let counts = self.listed.status == Status::Serving && self.latency.samples() > 0;
+        counts.then_some(self.latency.smoothed())
     }
 
     /// What is known of this server, for the next process.
@@ -177,9 +174,9 @@
             started: self.listed.started,
             limit: self.limit,
             cut: self.cut_at > Time(0),
-            stretch: self.stretch,
-            pace: self.pace,
-            samples: self.samples,
+            stretch: self.latency.slowdown(),
+            pace: self.latency.smoothed(),
+            samples: self.latency.samples(),
             cold_sent: self.slow_start.sent(now),
             suspect: self.suspicion.is_some(),
         }
@@ -373,11 +370,7 @@
     pub(crate) shut: bool,
     /// The server that each key was last sent to, where servers do known keys for less.
     pub(crate) key_affinity: BTreeMap<KeyId, ServerId>,
-    /// Answer time of a class as a share of its aim, over all servers, leaning to the quick ones, so that a
-    /// crowd does not pass for the usual state.
-    pub(crate) class_pace: Vec<f64>,
-    /// The same as it is now, slow ones and all.
-    pub(crate) class_now: Vec<f64>,
+    pub(crate) latencies: Latencies,
     /// The wait that most requests of a class come with, that of a first try, and the votes for it.
     pub(crate) usual_wait: Vec<(Span, u32)>,
     /// Traffic of the last seconds by class and by tenant.
@@ -386,18 +379,11 @@
     pub(crate) counted_at: Time,
     /// Classes that are refused last.
     pub(crate) spared: Vec<bool>,
-    pub(crate) median: f64,
-    /// The paces of the servers that the list says are serving and that have answered.
-    pub(crate) paces: RunningMedian,
-    /// Those of them that are to be asked anew.
-    pub(crate) paces_noted: Vec<usize>,
     /// The share of lost attempts among those of servers that are not suspect, of late.
     pub(crate) ill: f64,
     /// Scales all limits: a balancer sees few answers of each server but many of the fleet, so a jam of most
     /// servers is answered within a few round trips, where the single limits would take half a minute.
     pub(crate) level: f64,
-    /// Answer time as a share of the aim by kind of machine, and the answers that it rests on.
-    pub(crate) kinds: BTreeMap<KindId, (f64, f64)>,
     /// How zones do that have answered, or not; and whether any of them is less than wholly in use.
     pub(crate) zones: BTreeMap<ZoneId, Zone>,
     pub(crate) zones_ill: bool,
@@ -415,7 +401,6 @@
     /// A balancer that has seen nothing yet.
     pub(crate) fn blank(settings: Settings, seed: u64) -> Self {
         let classes = settings.classes.len();
-        let class_pace = vec![0.2; classes];
         let in_cell = |c: &Class| {
             matches!(c.idempotency, Idempotency::Deduplicated { scope: DeduplicationScope::Cell, .. })
         };
@@ -446,21 +431,16 @@
             most: 0,
             blind: false,
             key_affinity: BTreeMap::new(),
-            class_now: class_pace.clone(),
-            class_pace,
+            latencies: Latencies::new(&settings),
             usual_wait: vec![(Span::ZERO, 0); classes],
             asked: vec![0.0; classes],
             tenant_asked: vec![0.0; settings.tenants.len()],
             counted_at: Time(0),
             spared: vec![false; classes],
-            median: 0.2,
-            paces: RunningMedian::default(),
-            paces_noted: Vec::new(),
             ill: 0.0,
             level: 1.0,
             crowd: 0.0,
             tell_bytes: 0.0,
-            kinds: BTreeMap::new(),
             zones: BTreeMap::new(),
             zones_ill: false,
             retry_budget: RetryBudget::new(),
@@ -510,10 +490,13 @@
     /// usable is left out.
     pub(crate) fn restore(&mut self, now: Time, snapshot: Snapshot, min_level: f64, bounds: &SnapshotBounds) {
         self.level = snapshot.usable_level(min_level).unwrap_or(self.level);
-        self.median = snapshot.usable_median(bounds.max_latency).unwrap_or(self.median);
-        if let Some(latencies) = snapshot.usable_class_latencies(self.class_pace.len(), bounds.max_latency) {
-            self.class_now = latencies.clone();
-            self.class_pace = latencies;
+        if let Some(median) = snapshot.usable_median(bounds.max_latency) {
+            self.latencies.restore_median(median);
+        }
+        if let Some(latencies) =
+            snapshot.usable_class_latencies(self.settings.classes.len(), bounds.max_latency)
+        {
+            self.latencies.restore_classes(&latencies);
         }
         if let Some(work) = snapshot.usable_warm_sent() {
             self.slow_start.restore_warm_sent(now, work);
@@ -521,13 +504,13 @@
         for server in snapshot.servers {
             let Some(&slot) = self.index.get(&server.server) else { continue };
             let s = &mut self.servers[slot];
-            if s.samples > 0 || s.listed.started != server.started {
+            if s.latency.samples() > 0 || s.listed.started != server.started {
                 continue;
             }
             let Some(server) = server.bounded(bounds) else { continue };
             s.limit = server.limit;
             s.cut_at = if server.cut { Time(1) } else { Time(0) };
-            (s.stretch, s.pace, s.samples) = (server.stretch, server.pace, server.samples);
+            s.latency = ServerLatency::restored(server.stretch, server.pace, server.samples);
             if let Some(work) = server.usable_cold_sent() {
                 self.slow_start.restore_sent(now, &mut s.slow_start, work);
             }
@@ -565,23 +548,17 @@
         };
         let region = open && self.in_region(zone);
         self.region.set(i, region);
-        self.note_pace(i);
+        self.latencies.mark_changed(i);
     }
 
     /// Keeps that an answer has told of a server.
     pub(crate) fn note_learned(&mut self, flight: &Flight) {
-        self.note_pace(flight.server);
+        self.latencies.mark_changed(flight.server);
         if flight.trial {
             self.refile(flight.server);
         }
     }
 
-    /// Keeps that a server's pace may be another, until the median is asked for.
-    fn note_pace(&mut self, i: usize) {
-        let noted = std::mem::replace(&mut self.servers[i].pace_noted, true);
-        self.paces_noted.extend((!noted).then_some(i));
-    }
-
     /// Takes in by the clock which servers are warm by now, and which have been gone for long enough.
     pub(crate) fn settle(&mut self, now: Time) {
         self.free_gone(now);
@@ -724,7 +701,7 @@
                     let (new, i) = (Server::new(line, limit, now), self.free.pop());
                     let i = i.unwrap_or(self.servers.len());
                     match self.servers.get_mut(i) {
-                        Some(slot) => *slot = Server { pace_noted: slot.pace_noted, ..new },
+                        Some(slot) => *slot = new,
                         None => self.servers.push(new),
                     }
                     self.index.insert(server, i);
@@ -748,17 +725,10 @@
         self.slow_start.factor(&s.slow_start, s.listed.started, now)
     }
 
-    /// The median pace of those that serve, at the cost of those whose pace has changed since the last time.
-    pub(crate) fn set_median(&mut self) {
-        for i in std::mem::take(&mut self.paces_noted) {
-            let s = &mut self.servers[i];
-            s.pace_noted = false;
-            let judged = s.listed.status == Status::Serving && s.samples > 0;
-            self.paces.set(i, judged.then_some(s.pace));
-        }
-        if let Some(median) = self.paces.get() {
-            self.median = median.max(0.01);
-        }
+    /// Updates the median latency of the servers that serve.
+    pub(crate) fn update_median_latency(&mut self) {
+        let servers = &self.servers;
+        self.latencies.update_median(|slot| servers[slot].judged_latency());
     }
 
     /// Keeps what a send changes: its attempt, the counts of its server and the work that cold ones have met; `kept` if
@@ -807,7 +777,7 @@
             class,
             reach: self.permitted_actions(live, now).send,
             work: self.work(live),
-            heavy: (self.work(live) / self.usual(class)).clamp(1.0, 9.0).sqrt(),
+            heavy: (self.work(live) / self.latencies.usual_ms(class)).clamp(1.0, 9.0).sqrt(),
             safe: self.settings.classes[class].idempotency == Idempotency::Idempotent,
             key,
             warm: key.and_then(|k| self.key_affinity.get(&k)).and_then(slot).copied(),
@@ -830,14 +800,9 @@
         alike
     }
 
-    /// The usual answer time of a class in milliseconds.
-    pub(crate) fn usual(&self, class: usize) -> f64 {
-        (self.class_pace[class] * self.settings.classes[class].latency_objective.as_ms()).max(0.001)
-    }
-
     /// A guess at a request's work: the hint, else the usual answer time of its class.
     pub(crate) fn work(&self, live: &Live) -> f64 {
-        live.request.cost_hint.map_or_else(|| self.usual(live.request.class.0), Span::as_ms)
+        live.request.cost_hint.map_or_else(|| self.latencies.usual_ms(live.request.class.0), Span::as_ms)
     }
 
     /// What the process that replaces this one should know; of a large fleet the servers that most is known of.
@@ -845,13 +810,13 @@
         let mut servers: Vec<&Server> = self.servers.iter().filter(|s| s.open).collect();
         snapshot::select_servers(&mut servers, |s| ServerRelevance {
             is_ejected: s.suspicion.is_some(),
-            is_measured: s.samples > 0,
+            is_measured: s.latency.samples() > 0,
             last_response_at: s.ended,
         });
         Snapshot {
             level: self.level,
-            median: self.median,
-            class_pace: self.class_pace.clone(),
+            median: self.latencies.median(),
+            class_pace: self.latencies.all_usual(),
             warm_sent: self.slow_start.warm_sent(now),
             servers: servers.into_iter().map(|s| s.snapshot(now)).collect(),
         }
@@ -912,9 +877,9 @@
             self.flights.len(),
             self.held.len(),
             self.level,
-            self.median,
-            self.class_pace,
-            self.class_now,
+            self.latencies.median(),
+            self.latencies.all_usual(),
+            self.latencies.all_current(),
             self.retry_budget.tokens(),
         )
     }
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -81,12 +81,12 @@
     assert!(out.keys().all(|i| used.contains(i)), "a slot was freed under an attempt");
 
     if median {
-        let judged = |s: &&Server| s.listed.status == Status::Serving && s.samples > 0;
-        let mut paces: Vec<f64> = b.servers.iter().filter(judged).map(|s| s.pace).collect();
-        paces.sort_by(f64::total_cmp);
-        let expected = paces.get(paces.len() / 2).map_or(b.median, |m| m.max(0.01));
-        b.set_median();
-        assert_eq!(b.median, expected, "median of {paces:?}");
+        let judged = |s: &&Server| s.listed.status == Status::Serving && s.latency.samples() > 0;
+        let mut latencies: Vec<f64> = b.servers.iter().filter(judged).map(|s| s.latency.smoothed()).collect();
+        latencies.sort_by(f64::total_cmp);
+        let expected = latencies.get(latencies.len() / 2).map_or(b.latencies.median(), |m| m.max(0.01));
+        b.update_median_latency();
+        assert_eq!(b.latencies.median(), expected, "median of {latencies:?}");
     }
 }
 
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -33,7 +33,7 @@
     pub(crate) fn zone_learns(&mut self, now: Time, flight: &Flight, ended: &Ended, out: &mut Vec<Action>) {
         let (s, (outcome, elapsed, _)) = (&self.servers[flight.server], ended);
         let (zone, server, cold) = (s.listed.zone, s.listed.server, self.slow_start_factor(s, now) < 1.0);
-        let usual = self.usual(flight.class) * s.stretch;
+        let usual = self.latencies.usual_ms(flight.class) * s.latency.slowdown();
         let (well, whole) = (*outcome == Outcome::Success, self.settings.classes.len());
         let lost = outcome.is_failure() || *outcome == Outcome::TimedOut;
         if matches!(outcome, Outcome::ConnectFailed | Outcome::TimedOut) {
@@ -131,7 +131,8 @@
         let bears = (self.settings.initial_capacity * self.settings.overload_factor).max(0.01)
             * AT_ONCE
             * there as f64;
-        let usual = (0..self.settings.classes.len()).map(|class| self.usual(class)).fold(0.0, f64::max);
+        let usual =
+            (0..self.settings.classes.len()).map(|class| self.latencies.usual_ms(class)).fold(0.0, f64::max);
         let crowd = Span::from_ms(usual * f64::from(self.settings.balancers) / bears).min(PAUSE_MOST);
         let jitter = 0.75 + 0.5 * self.rng.f64();
         let whole = at.1 == self.settings.classes.len();
