--- a/src/logic.rs
+++ b/src/logic.rs
@@ -9,6 +9,7 @@
 use crate::records::*;
 use crate::retries::{AttemptHistory, PermittedActions, RetryScope};
 use crate::snapshot::SnapshotBounds;
+use crate::zones::{ZoneChange, ZoneContext, ZoneOutcome};
 use crate::*;
 
 /// Remembered servers (m) and fresh draws (d) of each pick; the paper asks for d >= m.
@@ -191,7 +192,8 @@
             Event::Gossip { payload, .. } => self.hear(now, &payload),
             Event::HealthChecked { server, outcome, report, .. } => {
                 let Some(&s) = self.index.get(&server) else { return };
-                self.zone_probed(now, s, outcome == Outcome::Success);
+                let zone = self.servers[s].listed.zone;
+                self.zones.record_health_check(now, zone, outcome == Outcome::Success);
                 match report {
                     Some(report) => self.read_report(now, s, &report, RESPONSE_GAIN),
                     None if outcome != Outcome::Success => self.suspect(now, s, "silent to probes", out),
@@ -440,8 +442,8 @@
         if let Some(first_try) = self.slow_start.due_first_tries(now).find(|i| self.ready(now, *i, ask)) {
             return vec![first_try];
         }
-        if let Some(trial) = self.zone_trial(now, ask) {
-            return vec![trial];
+        if let Some(probation) = self.zone_probation(now, ask) {
+            return vec![probation];
         }
         let draws = self.compared() - self.remembered();
         let mut found: Vec<usize> = Vec::with_capacity(draws + self.memory.len() + 1);
@@ -469,8 +471,8 @@
             let all = self.pool(2, ask.reach).len();
             let first = if all > LOOKS { self.rng.usize(0..all) } else { 0 };
             let (before, after) = self.pool(2, ask.reach).split_at(first);
-            let none = !self.open_in.groups().any(|zone| self.spills(zone));
-            let spills = |i: usize| none || self.spills(self.servers[i].listed.zone);
+            let none = !self.open_in.groups().any(|zone| self.zones.takes_overflow(zone));
+            let spills = |i: usize| none || self.zones.takes_overflow(self.servers[i].listed.zone);
             let ready = |i: &usize| self.ready(now, *i, ask) && spills(*i);
             let open = after.iter().chain(before).take(LOOKS).copied().filter(ready);
             let (again, fresh): (Vec<_>, Vec<_>) = open.partition(|i| ask.tried.contains(i));
@@ -487,7 +489,7 @@
     /// being empty wins the pick, a candidate counts for as many as it wins over.
     /// Of a zone that is not wholly in use, it is one as often as the share says; empty, it wins the pick.
     fn passes(&mut self, now: Time, i: usize, ask: &Pick) -> bool {
-        let share = self.zone_share(i, ask.class);
+        let share = self.zones.share(self.servers[i].listed.zone, ask.class);
         let wins = if self.blind { 1 } else { 1 + DRAWS } as f64;
         if share < 1.0 && self.rng.f64() * (share + (1.0 - share) * wins) >= share {
             return false;
@@ -600,7 +602,7 @@
         if let Some(report) = report {
             self.read_report(now, flight.server, &report, RESPONSE_GAIN);
         }
-        self.zone_learns(now, &flight, &(outcome, elapsed, None), out);
+        self.record_zone_outcome(now, &flight, outcome, elapsed, out);
         self.learn(now, &flight, outcome, elapsed, out);
         self.note_learned(&flight);
         self.let_go(flight.server, out);
@@ -692,6 +694,104 @@
         self.held = held;
     }
 
+    // ---- zones --------------------------------------------------------------------------------------
+
+    /// Lets the zone of a server learn from one outcome there.
+    fn record_zone_outcome(
+        &mut self,
+        now: Time,
+        flight: &Flight,
+        outcome: Outcome,
+        elapsed: Span,
+        out: &mut Vec<Action>,
+    ) {
+        let server = &self.servers[flight.server];
+        let ended = ZoneOutcome {
+            class: flight.class,
+            outcome,
+            elapsed,
+            is_in_time: elapsed <= self.settings.classes[flight.class].latency_objective,
+            usual_ms: self.latencies.usual_ms(flight.class) * server.latency.slowdown(),
+            is_warming: self.slow_start_factor(server, now) < 1.0,
+        };
+        let attempt = server.zone_attempt(flight.sent);
+        let mut context = ZoneContext {
+            now,
+            is_sparse: self.blind,
+            latencies: &self.latencies,
+            open_servers: &self.open_in,
+            rng: &mut self.rng,
+        };
+        let change = self.zones.record_outcome(&mut context, attempt, ended, out);
+        self.follow_zone_change(now, change, out);
+    }
+
+    /// Lets the zone of a server learn that an attempt there has had no response for too long.
+    fn record_zone_unanswered(&mut self, now: Time, server: usize, sent_at: Time, out: &mut Vec<Action>) {
+        let attempt = self.servers[server].zone_attempt(sent_at);
+        let mut context = ZoneContext {
+            now,
+            is_sparse: self.blind,
+            latencies: &self.latencies,
+            open_servers: &self.open_in,
+            rng: &mut self.rng,
+        };
+        if let Some(change) = self.zones.record_unanswered(&mut context, attempt, out) {
+            self.follow_zone_change(now, change, out);
+        }
+    }
+
+    fn follow_zone_change(&mut self, now: Time, change: ZoneChange, out: &mut Vec<Action>) {
+        match change {
+            ZoneChange::None => {}
+            ZoneChange::Changed(zone) => self.clear_suspicions(now, zone),
+            ZoneChange::Unresponsive(zone) => {
+                self.clear_suspicions(now, zone);
+                self.cancel_in_zone(now, zone, out);
+            }
+        }
+    }
+
+    /// What the servers of a zone were suspected of was the zone's.
+    fn clear_suspicions(&mut self, now: Time, zone: ZoneId) {
+        self.of_zone(zone, |s| (s.suspicion, s.doubted_until) = (None, now));
+    }
+
+    /// Cancels what is in flight in a zone that does not respond and may be sent elsewhere. That needs no retry budget,
+    /// as no server works on it. Nor do these attempts say anything of the other servers, whose admission level they
+    /// must not lower.
+    fn cancel_in_zone(&mut self, now: Time, zone: ZoneId, out: &mut Vec<Action>) {
+        let there = |f: &Flight| !f.called && self.servers[f.server].listed.zone == zone;
+        let keys: Vec<_> = self.flights.iter().filter(|(_, f)| there(f)).map(|(key, _)| *key).collect();
+        for key in keys {
+            self.retry_budget.grant();
+            if !self.call_back(now, key, true, out) {
+                self.retry_budget.spend();
+            }
+            self.flights.get_mut(&key).into_iter().for_each(|flight| flight.counted = true);
+        }
+    }
+
+    /// A server for a probation request, if a zone is due for one.
+    fn zone_probation(&mut self, now: Time, ask: &Pick) -> Option<usize> {
+        if !ask.tried.is_empty() {
+            return None;
+        }
+        let scope = self.zones.due_probation(now, ask.class, ask.safe)?;
+        let server = self.one_of(scope.zone, |balancer, i| balancer.allowed(now, i, ask))?;
+        self.zones.record_probation(now, scope);
+        Some(server)
+    }
+
+    /// Sends health checks to the zones that are due for one.
+    fn check_zones(&mut self, now: Time, out: &mut Vec<Action>) {
+        for zone in self.zones.due_health_checks(now) {
+            let Some(server) = self.one_of(zone, |_, _| true) else { continue };
+            self.zones.record_health_check_sent(now, zone);
+            out.push(Action::HealthCheck { server: self.servers[server].listed.server });
+        }
+    }
+
     // ---- what is learned of servers -----------------------------------------------------------------
 
     fn learn(&mut self, now: Time, flight: &Flight, outcome: Outcome, elapsed: Span, out: &mut Vec<Action>) {
@@ -945,7 +1045,7 @@
         self.settle(now);
         self.rank_classes();
         self.find_silent(now, out);
-        self.probe_zones(now, out);
+        self.check_zones(now, out);
         self.pump(now, out);
         self.set_tick(now, if self.held.is_empty() { TICK_IDLE } else { TICK_BUSY }, out);
     }
@@ -978,7 +1078,7 @@
         (0..late).for_each(|_| self.set_level(LATE));
         for &(key, server, sent) in &silent {
             self.suspect(now, server, "silent", out);
-            self.zone_mute(now, server, sent, out);
+            self.record_zone_unanswered(now, server, sent, out);
             if self.flights.get(&key).is_some_and(|flight| !flight.called) {
                 self.call_back(now, key, false, out);
             }
--- a/src/records.rs
+++ b/src/records.rs
@@ -6,6 +6,7 @@
 use crate::slot_sets::{SlotGroups, SlotSet};
 use crate::slow_start::{ServerSlowStart, SlowStart};
 use crate::snapshot::{ServerRelevance, SnapshotBounds};
+use crate::zones::{ZoneAttempt, Zones};
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -167,6 +168,11 @@
         counts.then_some(self.latency.smoothed())
     }
 
+    /// An attempt that it was sent, as its zone records it.
+    pub(crate) fn zone_attempt(&self, sent_at: Time) -> ZoneAttempt {
+        ZoneAttempt { zone: self.listed.zone, server: self.listed.server, sent_at }
+    }
+
     /// What is known of this server, for the next process.
     fn snapshot(&self, now: Time) -> ServerSnapshot {
         ServerSnapshot {
@@ -190,141 +196,6 @@
 
 /// Votes that a class's usual wait can gather; a new habit of the clients is believed after as many.
 const VOTES_MOST: u32 = 50;
-/// Answers that speak against a zone that are kept at most, the least of them that count as evidence, and the part of
-/// them that one server may make up.
-const AGAINST_MOST: usize = 12;
-const AGAINST_LEAST: usize = 3;
-const ONE_MOST: f64 = 0.75;
-
-/// Attempts without an answer that are kept of a zone at most.
-const MUTE_MOST: usize = 64;
-
-/// A zone, and the class in it that is meant, or one past the last for all of them.
-pub(crate) type Part = (ZoneId, usize);
-
-/// How a zone does as a whole, or for one class: how far it is in use, and by what evidence.
-#[derive(Debug, Clone)]
-pub(crate) struct Standing {
-    pub(crate) phase: ZonePhase,
-    /// The part of its draws that stand.
-    pub(crate) share: f64,
-    pub(crate) why: &'static str,
-    /// Since when all that is so. What follows here is counted from then on.
-    pub(crate) since: Time,
-    /// When its next trial is due, and the pause between two.
-    pub(crate) next: Time,
-    pub(crate) pause: Span,
-    /// It has answered a probe since it was left, and no request was tried yet.
-    pub(crate) probed: bool,
-    /// How often it has failed again soon after a return.
-    pub(crate) relapses: u32,
-    /// Good answers and bad ones to what was sent since then; the bad ones since the phase began.
-    pub(crate) good: u32,
-    pub(crate) bad: u32,
-    /// The last answers, up to a bound: how many, the share of them lost, and their mean time over the usual one.
-    pub(crate) answers: f64,
-    pub(crate) lost: f64,
-    pub(crate) slow: f64,
-    /// The servers of the last of them that spoke against the zone.
-    pub(crate) against: Vec<ServerId>,
-}
-
-impl Default for Standing {
-    fn default() -> Self {
-        Standing {
-            phase: ZonePhase::Serving,
-            share: 1.0,
-            why: "",
-            since: Time(0),
-            next: Time(0),
-            pause: Span::ZERO,
-            relapses: 0,
-            probed: false,
-            good: 0,
-            bad: 0,
-            answers: 0.0,
-            lost: 0.0,
-            slow: 1.0,
-            against: Vec::new(),
-        }
-    }
-}
-
-impl Standing {
-    /// Counts an answer; about the last `most` are remembered.
-    pub(crate) fn count(&mut self, server: ServerId, lost: bool, slow: f64, against: bool, most: f64) {
-        self.answers = (self.answers + 1.0).min(most);
-        self.lost += (f64::from(lost) - self.lost) / self.answers;
-        self.slow += (slow - self.slow) / self.answers;
-        if lost || against {
-            self.against.push(server);
-            self.against.drain(..self.against.len().saturating_sub(AGAINST_MOST));
-        }
-    }
-
-    /// The phase that a share means, after the present one.
-    pub(crate) fn phase_with(&self, share: f64) -> ZonePhase {
-        match share {
-            0.0 => ZonePhase::Away,
-            1.0.. => ZonePhase::Serving,
-            less if less < self.share => ZonePhase::Leaving,
-            _ => ZonePhase::Returning,
-        }
-    }
-
-    /// Whether what speaks against it comes from several servers: one alone is a server's trouble.
-    pub(crate) fn several(&self) -> bool {
-        let of = |server: ServerId| self.against.iter().filter(|s| **s == server).count() as f64;
-        let all = self.against.len();
-        all >= AGAINST_LEAST && self.against.iter().all(|s| of(*s) <= ONE_MOST * all as f64)
-    }
-
-    /// A trial went badly: the next one waits twice as long.
-    pub(crate) fn put_off(&mut self, now: Time, most: Span) {
-        self.pause = (self.pause * 2.0).min(most.max(self.pause));
-        self.next = now + self.pause;
-    }
-}
-
-/// What is known of a zone.
-pub(crate) struct Zone {
-    /// When it last answered anything, and when that was sent of what it answered that was sent last.
-    pub(crate) heard_at: Time,
-    pub(crate) asked_at: Time,
-    /// Attempts since that have had no answer for too long: their servers, and when they were sent.
-    pub(crate) mute: Vec<(ServerId, Time)>,
-    /// By class, and of the zone as a whole.
-    pub(crate) standings: Vec<Standing>,
-}
-
-impl Zone {
-    pub(crate) fn new(parts: usize) -> Self {
-        Zone {
-            heard_at: Time(0),
-            asked_at: Time(0),
-            mute: Vec::new(),
-            standings: vec![Standing::default(); parts],
-        }
-    }
-
-    /// It has answered what was sent then.
-    pub(crate) fn heard(&mut self, now: Time, sent: Time) {
-        (self.heard_at, self.asked_at) = (now, self.asked_at.max(sent));
-        self.mute.clear();
-    }
-
-    /// Keeps that a server owes an answer to what was sent then: whether that is new, and when the first was sent to a
-    /// second server that owes one.
-    pub(crate) fn owes(&mut self, server: ServerId, sent: Time) -> (bool, Option<Time>) {
-        let new = !self.mute.contains(&(server, sent));
-        self.mute.extend(new.then_some((server, sent)));
-        self.mute.sort_by_key(|m| m.1);
-        self.mute.truncate(MUTE_MOST);
-        let first = self.mute.first().map(|m| m.0);
-        (new, self.mute.iter().find(|m| Some(m.0) != first).map(|m| m.1))
-    }
-}
-
 /// The decisions of one client process about where, when and how often its requests are sent.
 pub struct Balancer {
     pub(crate) settings: Settings,
@@ -384,9 +255,7 @@
     /// Scales all limits: a balancer sees few answers of each server but many of the fleet, so a jam of most
     /// servers is answered within a few round trips, where the single limits would take half a minute.
     pub(crate) level: f64,
-    /// How zones do that have answered, or not; and whether any of them is less than wholly in use.
-    pub(crate) zones: BTreeMap<ZoneId, Zone>,
-    pub(crate) zones_ill: bool,
+    pub(crate) zones: Zones,
     /// Bytes that may be told to peers.
     pub(crate) tell_bytes: f64,
     /// What the last reports said on average.
@@ -441,8 +310,7 @@
             level: 1.0,
             crowd: 0.0,
             tell_bytes: 0.0,
-            zones: BTreeMap::new(),
-            zones_ill: false,
+            zones: Zones::new(&settings),
             retry_budget: RetryBudget::new(),
             ask_pause: Span::ZERO,
             ask_at: None,
@@ -597,18 +465,6 @@
         }
     }
 
-    /// The share of its draws that a server stands for, for a class.
-    pub(crate) fn zone_share(&self, server: usize, class: usize) -> f64 {
-        let zone = self.zones.get(&self.servers[server].listed.zone).filter(|_| self.zones_ill);
-        zone.map_or(1.0, |z| z.standings[class].share * z.standings[self.settings.classes.len()].share)
-    }
-
-    /// Whether it may be sent what no other has room for: a gray zone is better than none, a silent one is not.
-    pub(crate) fn spills(&self, zone: ZoneId) -> bool {
-        let zone = self.zones.get(&zone).filter(|_| self.zones_ill);
-        zone.is_none_or(|z| z.standings[self.settings.classes.len()].share >= 1.0)
-    }
-
     /// Whether a zone is in another region than this balancer.
     pub(crate) fn beyond(&self, zone: ZoneId) -> bool {
         self.regions.get(&zone) != self.regions.get(&self.settings.zone)
@@ -637,24 +493,6 @@
         there.get(self.rng.usize(0..there.len().max(1))).copied()
     }
 
-    /// What the other zones lose and how slow they are, on average, in the same part; none if too few answers tell.
-    pub(crate) fn others(&self, at: Part, answers: f64) -> Option<(f64, f64)> {
-        let others = self.zones.iter().filter(|(id, _)| **id != at.0).map(|(_, z)| &z.standings[at.1]);
-        let others: Vec<&Standing> =
-            others.filter(|s| s.phase == ZonePhase::Serving && s.answers >= answers).collect();
-        let mean = |of: fn(&Standing) -> f64| others.iter().map(|s| of(s)).sum::<f64>() / others.len() as f64;
-        (!others.is_empty()).then(|| (mean(|s| s.lost), mean(|s| s.slow)))
-    }
-
-    /// The first part of these that is so; a class only where the zone is in use as a whole, which is the first part.
-    pub(crate) fn find_part(&self, parts: [usize; 2], so: impl Fn(&Standing) -> bool) -> Option<Part> {
-        let all =
-            parts.into_iter().flat_map(|part| self.zones.iter().map(move |(zone, of)| (*zone, of, part)));
-        let in_use = |of: &Zone, part: usize| part == parts[0] || of.standings[parts[0]].share > 0.0;
-        let mut found = all.filter(|(_, of, part)| in_use(of, *part) && so(&of.standings[*part]));
-        found.next().map(|(zone, _, part)| (zone, part))
-    }
-
     /// Keeps what the end of an attempt changes at its server.
     pub(crate) fn note_end(&mut self, now: Time, flight: &Flight, outcome: Outcome) {
         let s = &mut self.servers[flight.server];
@@ -665,17 +503,6 @@
         }
     }
 
-    /// Keeps whether any zone is less than wholly in use, so that a pick need not look while none is.
-    pub(crate) fn look_for_ill_zones(&mut self) {
-        self.zones_ill = self.zones.values().flat_map(|z| &z.standings).any(|s| s.share < 1.0);
-    }
-
-    /// The record of a zone.
-    pub(crate) fn zone(&mut self, zone: ZoneId) -> &mut Zone {
-        let parts = self.settings.classes.len() + 1;
-        self.zones.entry(zone).or_insert_with(|| Zone::new(parts))
-    }
-
     /// Takes in lines of the list; one that names a new process begins with `limit`.
     pub(crate) fn take_lines(&mut self, now: Time, lines: Vec<Endpoint>, complete: bool, limit: f64) {
         let mut touched: Vec<usize> = Vec::with_capacity(lines.len());
@@ -716,8 +543,7 @@
             self.gone.set(i, gone.then(|| self.gone.due_at(i).unwrap_or(forget_at)));
         }
         let listed = |i: &usize| self.servers[*i].listed.status != Status::Gone;
-        self.zones.retain(|zone, _| self.in_zone.members(*zone).iter().any(listed));
-        self.look_for_ill_zones();
+        self.zones.retain(|zone| self.in_zone.members(zone).iter().any(listed));
     }
 
     /// The fraction of its capacity that a server has for certain.
@@ -847,21 +673,9 @@
         listed.map(view).collect()
     }
 
-    /// How it uses each zone, as a whole, and where that differs by class; those of which nothing was heard are left out.
+    /// How it uses each zone, as a whole, and by class where that differs; zones without a response are left out.
     pub fn zone_views(&self) -> Vec<ZoneView> {
-        let whole = self.settings.classes.len();
-        let views = self.zones.iter().flat_map(|(&zone, of)| {
-            let told = |(part, s): &(usize, &Standing)| *part == whole || s.phase != ZonePhase::Serving;
-            of.standings.iter().enumerate().filter(told).map(move |(part, s)| ZoneView {
-                zone,
-                class: (part < whole).then_some(ClassId(part)),
-                phase: s.phase,
-                share: s.share,
-                why: s.why,
-                since: s.since,
-            })
-        });
-        views.collect()
+        self.zones.views()
     }
 
     /// The state behind the decisions in one line, for a log.
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -1,215 +1,423 @@
-//! How far each zone is in use: by the balancer's own evidence, over several servers of the zone, and next to
-//! the other zones in the same time, so that a fleet that is ill everywhere has no failing zone.
+//! How far each zone is in use: zone health, evacuation and the recovery ramp.
 //!
-//! A zone that is silent is away at once. One that fails or is slow for a class gives up half of its draws of
-//! that class a step. Back it comes by trials, then with a quarter, a half and all of its draws, each after
-//! good answers at the step before.
-
-use crate::records::*;
-use crate::*;
-
-/// Answers without which there is no verdict on a zone.
-const ENOUGH: f64 = 8.0;
-/// It fails if it loses this much more than the others do, and by so many deviations of chance.
-const LOSES: f64 = 0.05;
-const DEVIATIONS: f64 = 3.0;
-/// It is slow at this multiple of the others, each server against its own usual time.
-const SLOWER: f64 = 3.0;
-/// The share of its draws with which it returns, the good answers before that is doubled (more of them where
-/// it is gray, as most of its answers are good then too), and the bad ones that end the return.
-const RETURN_SHARE: f64 = 0.25;
-const GATE: u32 = 2;
-const GATE_GRAY: u32 = 6;
-const RELAPSE: u32 = 2;
-/// First and longest pause between trials. One that is heard again within two first ones had not been away.
-const PAUSE_FIRST: Span = Span(250_000);
-const PAUSE_MOST: Span = Span(8_000_000);
-const RELAPSES_MOST: u32 = 4;
-/// Requests that a server works on at once at least: two cores, and half of an answer's time is waiting.
-const AT_ONCE: f64 = 4.0;
-
-impl Balancer {
-    /// Learns of a zone, and of the class in it, by one outcome there.
-    pub(crate) fn zone_learns(&mut self, now: Time, flight: &Flight, ended: &Ended, out: &mut Vec<Action>) {
-        let (s, (outcome, elapsed, _)) = (&self.servers[flight.server], ended);
-        let (zone, server, cold) = (s.listed.zone, s.listed.server, self.slow_start_factor(s, now) < 1.0);
-        let usual = self.latencies.usual_ms(flight.class) * s.latency.slowdown();
-        let (well, whole) = (*outcome == Outcome::Success, self.settings.classes.len());
-        let lost = outcome.is_failure() || *outcome == Outcome::TimedOut;
+//! The evidence is the balancer's own, over several servers of the zone, and is compared with the other zones in the
+//! same time, so that no zone fails where the whole fleet does.
+//!
+//! A zone that does not respond at all is left at once. One that fails or is slow for a class gives up half of its draws
+//! of that class a step. It recovers by probation requests, then with a quarter, a half and all of its draws, each after
+//! good responses at the step before.
+
+mod health;
+mod probation;
+#[cfg(test)]
+mod tests;
+
+use crate::latency::Latencies;
+use crate::slot_sets::SlotGroups;
+use crate::{Action, ClassId, Outcome, ServerId, Settings, Span, Time, ZoneId, ZonePhase, ZoneView};
+use health::{ZoneHealth, ZoneUsage};
+use std::collections::BTreeMap;
+
+/// The outcomes that it takes to judge a zone.
+const MIN_SAMPLES: f64 = 8.0;
+/// The outcomes that are remembered at most.
+const MAX_SAMPLES: f64 = 4.0 * MIN_SAMPLES;
+/// A zone that is left stays at its present share after so many outcomes.
+const SETTLED_SAMPLES: f64 = 2.0 * MIN_SAMPLES;
+/// A zone fails if it loses this much more than the others do, and by so many standard deviations.
+const MIN_EXCESS_LOSS: f64 = 0.05;
+const MIN_DEVIATIONS: f64 = 3.0;
+/// The loss of the others is taken to be this at most.
+const MAX_EXPECTED_LOSS: f64 = 0.9;
+/// A zone is slow at this multiple of the others, each server against its own usual latency.
+const SLOW_FACTOR: f64 = 3.0;
+/// The highest latency that counts, relative to the usual one.
+const MAX_SLOWDOWN: f64 = 2.0 * SLOW_FACTOR;
+/// The share of its draws with which a zone starts its recovery.
+const FIRST_RECOVERY_SHARE: f64 = 0.25;
+/// The good responses before the share is doubled: of the zone as a whole, with sparse traffic, and for one class, where
+/// most responses are good all the time.
+const GOOD_RESPONSES_PER_STEP: u32 = 2;
+const GOOD_RESPONSES_PER_STEP_SPARSE: u32 = 1;
+const GOOD_RESPONSES_PER_STEP_OF_CLASS: u32 = 6;
+/// The bad responses that end a recovery.
+const BAD_RESPONSES_TO_RELAPSE: u32 = 2;
+/// The first and the longest interval between two probation requests.
+const FIRST_PROBATION_INTERVAL: Span = Span(250_000);
+const MAX_PROBATION_INTERVAL: Span = Span(8_000_000);
+/// A zone that responds within this many first intervals had not been away.
+const FALSE_ALARM_INTERVALS: f64 = 2.0;
+/// The relapses that lengthen the interval at most.
+const MAX_RELAPSES: u32 = 4;
+/// A zone relapses if it is left again within this many intervals.
+const RELAPSE_INTERVALS: f64 = 8.0;
+/// The requests that a server handles at once at least: two cores, and half of a response's time is waiting.
+const REQUESTS_PER_SERVER: f64 = 4.0;
+/// The least fraction of its capacity at which a starting server is taken to work.
+const MIN_INITIAL_CAPACITY: f64 = 0.01;
+
+/// A zone as a whole, or one class in it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct ZoneScope {
+    /// The zone.
+    pub(crate) zone: ZoneId,
+    /// The class, none for the zone as a whole.
+    class: Option<usize>,
+}
+
+impl ZoneScope {
+    fn whole(zone: ZoneId) -> Self {
+        ZoneScope { zone, class: None }
+    }
+}
+
+/// What the rest of the balancer has to do after a change of a zone.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum ZoneChange {
+    /// Nothing.
+    None,
+    /// The use of a zone as a whole has changed: what its servers were suspected of was the zone's.
+    Changed(ZoneId),
+    /// The same, because the zone does not respond: what is in flight there is to be cancelled.
+    Unresponsive(ZoneId),
+}
+
+/// What a decision on a zone needs to know.
+pub(crate) struct ZoneContext<'a> {
+    pub(crate) now: Time,
+    /// There are more balancers than servers.
+    pub(crate) is_sparse: bool,
+    pub(crate) latencies: &'a Latencies,
+    /// The open servers of each zone.
+    pub(crate) open_servers: &'a SlotGroups<ZoneId>,
+    pub(crate) rng: &'a mut fastrand::Rng,
+}
+
+/// An attempt that has ended, or has had no response for too long.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct ZoneAttempt {
+    pub(crate) zone: ZoneId,
+    pub(crate) server: ServerId,
+    pub(crate) sent_at: Time,
+}
+
+/// How an attempt ended.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct ZoneOutcome {
+    pub(crate) class: usize,
+    pub(crate) outcome: Outcome,
+    pub(crate) elapsed: Span,
+    /// It took no longer than the latency objective.
+    pub(crate) is_in_time: bool,
+    /// The usual latency of the server for this class.
+    pub(crate) usual_ms: f64,
+    /// The server is warming up.
+    pub(crate) is_warming: bool,
+}
+
+/// What one outcome says of a zone.
+#[derive(Debug, Clone, Copy)]
+struct Verdict {
+    is_good: bool,
+    is_bad: bool,
+    sent_at: Time,
+}
+
+/// All zones that have responded, or have failed to.
+pub(crate) struct Zones {
+    zones: BTreeMap<ZoneId, ZoneHealth>,
+    /// Some zone is less than wholly in use, so that its share has to be looked up.
+    is_any_restricted: bool,
+    class_count: usize,
+    has_health_checks: bool,
+    balancers: u32,
+    /// The requests that a starting server handles at once.
+    requests_per_starting_server: f64,
+}
+
+impl Zones {
+    /// Nothing is known of any zone.
+    pub(crate) fn new(settings: &Settings) -> Self {
+        let initial_capacity =
+            (settings.initial_capacity * settings.overload_factor).max(MIN_INITIAL_CAPACITY);
+        Zones {
+            zones: BTreeMap::new(),
+            is_any_restricted: false,
+            class_count: settings.classes.len(),
+            has_health_checks: settings.probes,
+            balancers: settings.balancers,
+            requests_per_starting_server: initial_capacity * REQUESTS_PER_SERVER,
+        }
+    }
+
+    /// The fraction of its draws that a zone is used for, for a class.
+    pub(crate) fn share(&self, zone: ZoneId, class: usize) -> f64 {
+        let health = self.restricted(zone);
+        health.map_or(1.0, |health| health.usages[class].share * health.usages[self.class_count].share)
+    }
+
+    /// Whether the zone may be sent what no other has capacity for: one that serves some classes badly is better than
+    /// none, one that does not respond is not.
+    pub(crate) fn takes_overflow(&self, zone: ZoneId) -> bool {
+        self.restricted(zone).is_none_or(|health| health.usages[self.class_count].share >= 1.0)
+    }
+
+    /// How each zone is used, as a whole, and by class where that differs.
+    pub(crate) fn views(&self) -> Vec<ZoneView> {
+        let views = self.zones.iter().flat_map(|(&zone, health)| {
+            let is_shown = |(index, usage): &(usize, &ZoneUsage)| {
+                *index == self.class_count || usage.phase != ZonePhase::Serving
+            };
+            let view = move |(index, usage): (usize, &ZoneUsage)| ZoneView {
+                zone,
+                class: (index < self.class_count).then_some(ClassId(index)),
+                phase: usage.phase,
+                share: usage.share,
+                why: usage.reason,
+                since: usage.since,
+            };
+            health.usages.iter().enumerate().filter(is_shown).map(view)
+        });
+        views.collect()
+    }
+
+    /// Forgets the zones that are not to be kept.
+    pub(crate) fn retain(&mut self, mut is_kept: impl FnMut(ZoneId) -> bool) {
+        self.zones.retain(|zone, _| is_kept(*zone));
+        self.update_is_any_restricted();
+    }
+
+    /// Takes in how an attempt ended.
+    pub(crate) fn record_outcome(
+        &mut self,
+        context: &mut ZoneContext,
+        attempt: ZoneAttempt,
+        ended: ZoneOutcome,
+        actions: &mut Vec<Action>,
+    ) -> ZoneChange {
+        let outcome = ended.outcome;
+        let is_success = outcome == Outcome::Success;
+        let is_lost = outcome.is_failure() || outcome == Outcome::TimedOut;
         if matches!(outcome, Outcome::ConnectFailed | Outcome::TimedOut) {
-            if self.zone_mute(now, flight.server, flight.sent, out) {
-                return;
+            if let Some(change) = self.record_unanswered(context, attempt, actions) {
+                return change;
             }
-        } else if *outcome == Outcome::ServerError || !lost && *outcome != Outcome::Cancelled {
-            self.zone(zone).heard(now, flight.sent);
-        }
-        if !well && !lost {
-            return;
+        } else if outcome == Outcome::ServerError || !is_lost && outcome != Outcome::Cancelled {
+            self.health(attempt.zone).record_response(context.now, attempt.sent_at);
         }
-        // A cold server is slow by nature, and what was lost took no time that tells anything.
-        let slow = if well && !cold { (elapsed.as_ms() / usual).min(2.0 * SLOWER) } else { 1.0 };
-        let in_time = *elapsed <= self.settings.classes[flight.class].latency_objective;
-        self.zone(zone).standings[flight.class].count(server, lost, slow, slow > SLOWER, 4.0 * ENOUGH);
-        for part in [flight.class, whole] {
-            let seen = (well && in_time && slow <= SLOWER, lost || slow > SLOWER, flight.sent);
-            self.judge_zone(now, (zone, part), seen, out);
+        if !is_success && !is_lost {
+            return ZoneChange::None;
         }
+        // A server that is warming up is slow, and what was lost took no time that says anything.
+        let slowdown = if is_success && !ended.is_warming {
+            (ended.elapsed.as_ms() / ended.usual_ms).min(MAX_SLOWDOWN)
+        } else {
+            1.0
+        };
+        let is_slow = slowdown > SLOW_FACTOR;
+        let usage = &mut self.health(attempt.zone).usages[ended.class];
+        usage.record(attempt.server, is_lost, slowdown, is_slow, MAX_SAMPLES);
+        let verdict = Verdict {
+            is_good: is_success && ended.is_in_time && !is_slow,
+            is_bad: is_lost || is_slow,
+            sent_at: attempt.sent_at,
+        };
+        self.judge(context, ZoneScope { zone: attempt.zone, class: Some(ended.class) }, verdict, actions);
+        self.judge(context, ZoneScope::whole(attempt.zone), verdict, actions)
     }
 
-    /// Takes in that an attempt has no answer for too long; true if its zone has said nothing since either.
-    pub(crate) fn zone_mute(&mut self, now: Time, server: usize, sent: Time, out: &mut Vec<Action>) -> bool {
-        let Endpoint { server, zone, .. } = self.servers[server].listed;
-        let whole = self.settings.classes.len();
-        let of = self.zone(zone);
-        if sent < of.heard_at {
-            return false;
+    /// Takes in that an attempt has had no response for too long; none if its zone has responded since it was sent.
+    pub(crate) fn record_unanswered(
+        &mut self,
+        context: &mut ZoneContext,
+        attempt: ZoneAttempt,
+        actions: &mut Vec<Action>,
+    ) -> Option<ZoneChange> {
+        let (scope, class_count) = (ZoneScope::whole(attempt.zone), self.class_count);
+        let health = self.health(attempt.zone);
+        if attempt.sent_at < health.last_response_at {
+            return None;
         }
-        let (new, since) = of.owes(server, sent);
-        let in_use = matches!(of.standings[whole].phase, ZonePhase::Serving | ZonePhase::Leaving);
-        // With the fleet silent as a whole, nothing that was sent after both is answered by another zone.
-        let well = |at: Time| self.zones.iter().any(|(id, z)| *id != zone && z.asked_at > at);
-        if in_use && since.is_some_and(well) {
-            self.set_zone(now, (zone, whole), 0.0, "silent", out);
-            self.rescue(now, zone, out);
-        } else if !in_use && new {
-            self.judge_zone(now, (zone, whole), (false, true, sent), out);
+        let silence = health.record_unanswered(attempt.server, attempt.sent_at);
+        let phase = health.usages[class_count].phase;
+        let is_in_use = matches!(phase, ZonePhase::Serving | ZonePhase::Leaving);
+        // If the whole fleet is silent, no other zone has responded to anything that was sent after both.
+        let does_other_respond =
+            |since: Time| self.zones.iter().any(|(z, h)| *z != attempt.zone && h.last_answered_send > since);
+        if is_in_use && silence.second_server_since.is_some_and(does_other_respond) {
+            self.change(context, scope, 0.0, "silent", actions);
+            return Some(ZoneChange::Unresponsive(attempt.zone));
         }
-        true
-    }
-
-    /// Calls back what is out in a silent zone and may go elsewhere. It needs no budget: nobody works on it.
-    /// Nor does it tell of the servers that are left, whose level it must not lower.
-    fn rescue(&mut self, now: Time, zone: ZoneId, out: &mut Vec<Action>) {
-        let there = |f: &Flight| !f.called && self.servers[f.server].listed.zone == zone;
-        let keys: Vec<_> = self.flights.iter().filter(|(_, f)| there(f)).map(|(key, _)| *key).collect();
-        for key in keys {
-            self.retry_budget.grant();
-            if !self.call_back(now, key, true, out) {
-                self.retry_budget.spend();
-            }
-            self.flights.get_mut(&key).into_iter().for_each(|flight| flight.counted = true);
+        if !is_in_use && silence.is_new {
+            let verdict = Verdict { is_good: false, is_bad: true, sent_at: attempt.sent_at };
+            return Some(self.judge(context, scope, verdict, actions));
         }
+        Some(ZoneChange::None)
     }
 
-    /// What follows for a zone, or a class in it, from an answer that is good or bad.
-    fn judge_zone(&mut self, now: Time, at: Part, seen: (bool, bool, Time), out: &mut Vec<Action>) {
-        let (good, bad, sent) = seen;
-        let whole = at.1 == self.settings.classes.len();
-        let gate = [if self.blind { 1 } else { GATE }, GATE_GRAY][usize::from(!whole)];
-        let it = &mut self.zone(at.0).standings[at.1];
-        let after = sent >= it.since;
-        it.good += u32::from(good && after);
-        it.bad += u32::from(bad && after);
-        let (share, why) = match it.phase {
-            ZonePhase::Away if good && whole && now.since(it.since) <= PAUSE_FIRST * 2.0 => (1.0, "not away"),
-            ZonePhase::Away if good && (whole || after) => (RETURN_SHARE, "a trial went well"),
-            ZonePhase::Away if bad && after => return it.put_off(now, PAUSE_MOST),
-            ZonePhase::Returning if it.bad >= RELAPSE => (0.0, "relapsed"),
-            ZonePhase::Returning if it.good >= gate => (2.0 * it.share, "answers well"),
-            ZonePhase::Leaving if it.answers >= 2.0 * ENOUGH => (it.share, "no worse"),
-            ZonePhase::Serving | ZonePhase::Leaving if it.answers >= ENOUGH && it.several() => {
-                let less = if it.share > RETURN_SHARE { 0.5 * it.share } else { 0.0 };
-                let (answers, lost, slow) = (it.answers, it.lost, it.slow);
-                let Some((usually, usual)) = self.others(at, ENOUGH) else { return };
-                let chance = (usually + LOSES).min(0.9);
-                let fails =
-                    (lost - chance) * answers > DEVIATIONS * (answers * chance * (1.0 - chance)).sqrt();
-                match fails {
-                    true => (less, "failing"),
-                    false if slow > SLOWER * usual.max(1.0) => (less, "slow"),
-                    false => return,
+    /// Decides what follows from one outcome.
+    fn judge(
+        &mut self,
+        context: &mut ZoneContext,
+        scope: ZoneScope,
+        verdict: Verdict,
+        actions: &mut Vec<Action>,
+    ) -> ZoneChange {
+        let now = context.now;
+        let is_whole = scope.class.is_none();
+        let good_responses_per_step = match (is_whole, context.is_sparse) {
+            (false, _) => GOOD_RESPONSES_PER_STEP_OF_CLASS,
+            (true, true) => GOOD_RESPONSES_PER_STEP_SPARSE,
+            (true, false) => GOOD_RESPONSES_PER_STEP,
+        };
+        let usage = self.usage(scope);
+        let Verdict { is_good, is_bad, sent_at } = verdict;
+        let was_sent_since = sent_at >= usage.since;
+        usage.good += u32::from(is_good && was_sent_since);
+        usage.bad += u32::from(is_bad && was_sent_since);
+        let is_false_alarm =
+            is_whole && now.since(usage.since) <= FIRST_PROBATION_INTERVAL * FALSE_ALARM_INTERVALS;
+        let (share, reason) = match usage.phase {
+            ZonePhase::Away if is_good && is_false_alarm => (1.0, "not away"),
+            ZonePhase::Away if is_good && (is_whole || was_sent_since) => {
+                (FIRST_RECOVERY_SHARE, "a trial went well")
+            }
+            ZonePhase::Away if is_bad && was_sent_since => {
+                usage.back_off(now, MAX_PROBATION_INTERVAL);
+                return ZoneChange::None;
+            }
+            ZonePhase::Returning if usage.bad >= BAD_RESPONSES_TO_RELAPSE => (0.0, "relapsed"),
+            ZonePhase::Returning if usage.good >= good_responses_per_step => {
+                (2.0 * usage.share, "answers well")
+            }
+            ZonePhase::Leaving if usage.samples >= SETTLED_SAMPLES => (usage.share, "no worse"),
+            ZonePhase::Serving | ZonePhase::Leaving
+                if usage.samples >= MIN_SAMPLES && usage.is_adverse_at_several_servers() =>
+            {
+                let share = if usage.share > FIRST_RECOVERY_SHARE { 0.5 * usage.share } else { 0.0 };
+                match self.complaint(scope) {
+                    Some(reason) => (share, reason),
+                    None => return ZoneChange::None,
                 }
             }
-            _ => return,
+            _ => return ZoneChange::None,
+        };
+        self.change(context, scope, share, reason, actions);
+        if is_whole {
+            ZoneChange::Changed(scope.zone)
+        } else {
+            ZoneChange::None
+        }
+    }
+
+    /// What is wrong with a zone next to the others, if anything is.
+    fn complaint(&mut self, scope: ZoneScope) -> Option<&'static str> {
+        let usage = self.usage(scope);
+        let (samples, loss, slowdown) = (usage.samples, usage.loss, usage.slowdown);
+        let (others_loss, others_slowdown) = self.mean_of_others(scope)?;
+        let expected = (others_loss + MIN_EXCESS_LOSS).min(MAX_EXPECTED_LOSS);
+        let deviation = (samples * expected * (1.0 - expected)).sqrt();
+        if (loss - expected) * samples > MIN_DEVIATIONS * deviation {
+            Some("failing")
+        } else if slowdown > SLOW_FACTOR * others_slowdown.max(1.0) {
+            Some("slow")
+        } else {
+            None
+        }
+    }
+
+    /// The mean loss and slowdown of the other zones that are wholly in use; none if too few outcomes tell.
+    fn mean_of_others(&self, scope: ZoneScope) -> Option<(f64, f64)> {
+        let index = self.index(scope);
+        let others = self.zones.iter().filter(|(zone, _)| **zone != scope.zone);
+        let is_judged =
+            |usage: &&ZoneUsage| usage.phase == ZonePhase::Serving && usage.samples >= MIN_SAMPLES;
+        let others: Vec<&ZoneUsage> =
+            others.map(|(_, health)| &health.usages[index]).filter(is_judged).collect();
+        let mean = |value: fn(&ZoneUsage) -> f64| {
+            others.iter().map(|usage| value(usage)).sum::<f64>() / others.len() as f64
         };
-        self.set_zone(now, at, share, why, out);
-    }
-
-    fn set_zone(&mut self, now: Time, at: Part, share: f64, why: &'static str, out: &mut Vec<Action>) {
-        // The trials of all balancers together stay within what the zone's servers bear while they are cold.
-        let there = self.open_in.members(at.0).len().max(1);
-        let bears = (self.settings.initial_capacity * self.settings.overload_factor).max(0.01)
-            * AT_ONCE
-            * there as f64;
-        let usual =
-            (0..self.settings.classes.len()).map(|class| self.latencies.usual_ms(class)).fold(0.0, f64::max);
-        let crowd = Span::from_ms(usual * f64::from(self.settings.balancers) / bears).min(PAUSE_MOST);
-        let jitter = 0.75 + 0.5 * self.rng.f64();
-        let whole = at.1 == self.settings.classes.len();
-        let it = &mut self.zone(at.0).standings[at.1];
-        let phase = it.phase_with(share);
-        let longer = PAUSE_FIRST * 2f64.powi(it.relapses as i32);
-        let again = it.phase == ZonePhase::Returning || now.since(it.since) < longer * 8.0;
-        let (pause, relapses) = match phase {
-            ZonePhase::Away if again => (longer * 2.0, (it.relapses + 1).min(RELAPSES_MOST)),
-            ZonePhase::Away => (PAUSE_FIRST, 0),
-            _ => (PAUSE_FIRST, it.relapses),
+        (!others.is_empty()).then(|| (mean(|usage| usage.loss), mean(|usage| usage.slowdown)))
+    }
+
+    /// Changes how far a zone is in use.
+    fn change(
+        &mut self,
+        context: &mut ZoneContext,
+        scope: ZoneScope,
+        share: f64,
+        reason: &'static str,
+        actions: &mut Vec<Action>,
+    ) {
+        let now = context.now;
+        let min_interval = self.min_probation_interval(context, scope.zone);
+        let jitter = 0.75 + 0.5 * context.rng.f64();
+        let usage = self.usage(scope);
+        let phase = usage.phase_for(share);
+        let interval = FIRST_PROBATION_INTERVAL * 2f64.powi(usage.relapses as i32);
+        let is_relapse =
+            usage.phase == ZonePhase::Returning || now.since(usage.since) < interval * RELAPSE_INTERVALS;
+        let (interval, relapses) = match phase {
+            ZonePhase::Away if is_relapse => (interval * 2.0, (usage.relapses + 1).min(MAX_RELAPSES)),
+            ZonePhase::Away => (FIRST_PROBATION_INTERVAL, 0),
+            _ => (FIRST_PROBATION_INTERVAL, usage.relapses),
         };
-        let (pause, bad) = (pause.max(crowd), if phase == it.phase { it.bad } else { 0 });
-        let next = now + pause * jitter;
-        *it = Standing {
+        let probation_interval = interval.max(min_interval);
+        *usage = ZoneUsage {
             phase,
             share,
-            why,
+            reason,
             since: now,
-            pause,
-            next,
-            bad,
+            next_probation: now + probation_interval * jitter,
+            probation_interval,
+            is_health_checked: scope.class.is_some(),
             relapses,
-            probed: !whole,
-            ..Standing::default()
+            bad: if phase == usage.phase { usage.bad } else { 0 },
+            ..ZoneUsage::default()
         };
-        self.look_for_ill_zones();
-        if whole {
-            self.zone(at.0).mute.clear();
-            // What its servers are suspected of was the zone's.
-            self.of_zone(at.0, |s| (s.suspicion, s.doubted_until) = (None, now));
+        self.update_is_any_restricted();
+        if scope.class.is_none() {
+            self.health(scope.zone).clear_unanswered();
         }
-        let of = if whole { String::new() } else { format!(" for class {}", at.1) };
-        let text = format!("zone is {phase:?}{of} with {:.0}% of its draws: {why}", 100.0 * share);
-        out.push(Action::Log { server: None, zone: Some(at.0), text });
+        let class = scope.class.map_or(String::new(), |class| format!(" for class {class}"));
+        let text = format!("zone is {phase:?}{class} with {:.0}% of its draws: {reason}", 100.0 * share);
+        actions.push(Action::Log { server: None, zone: Some(scope.zone), text });
     }
 
-    /// A server of a zone that is away or returning and due for a trial.
-    pub(crate) fn zone_trial(&mut self, now: Time, ask: &Pick) -> Option<usize> {
-        if !self.zones_ill || !ask.tried.is_empty() {
-            return None;
-        }
-        let asked = |s: &Standing| s.phase == ZonePhase::Returning || !self.settings.probes || s.probed;
-        let due = |s: &Standing| {
-            let out = matches!(s.phase, ZonePhase::Away | ZonePhase::Returning);
-            out && asked(s) && now >= if ask.safe { s.next } else { s.next + s.pause * 2.0 }
-        };
-        let parts = [self.settings.classes.len(), ask.class];
-        let (zone, part) = self.find_part(parts, due)?;
-        let server = self.one_of(zone, |balancer, i| balancer.allowed(now, i, ask))?;
-        let it = &mut self.zone(zone).standings[part];
-        (it.next, it.probed) = (now + it.pause, part != parts[0]);
-        Some(server)
-    }
-
-    /// Asks zones that are away whether they are back, so that no request need find out.
-    pub(crate) fn probe_zones(&mut self, now: Time, out: &mut Vec<Action>) {
-        if !self.zones_ill || !self.settings.probes {
-            return;
-        }
-        let whole = self.settings.classes.len();
-        let due = |s: &Standing| s.phase == ZonePhase::Away && !s.probed && now >= s.next;
-        let zones = self.zones.iter().filter(|(_, z)| due(&z.standings[whole])).map(|(zone, _)| *zone);
-        for zone in zones.collect::<Vec<_>>() {
-            let Some(server) = self.one_of(zone, |_, _| true) else { continue };
-            let it = &mut self.zone(zone).standings[whole];
-            it.next = now + it.pause;
-            out.push(Action::HealthCheck { server: self.servers[server].listed.server });
-        }
+    /// The probation requests of all balancers together stay within what the zone's servers take when they start.
+    fn min_probation_interval(&self, context: &ZoneContext, zone: ZoneId) -> Span {
+        let servers = context.open_servers.members(zone).len().max(1);
+        let requests_at_once = self.requests_per_starting_server * servers as f64;
+        let latencies = (0..self.class_count).map(|class| context.latencies.usual_ms(class));
+        let slowest_ms = latencies.fold(0.0, f64::max);
+        Span::from_ms(slowest_ms * f64::from(self.balancers) / requests_at_once).min(MAX_PROBATION_INTERVAL)
     }
 
-    /// One that answers a probe is tried with a request at once.
-    pub(crate) fn zone_probed(&mut self, now: Time, server: usize, well: bool) {
-        let (zone, whole) = (self.servers[server].listed.zone, self.settings.classes.len());
-        let it = &mut self.zone(zone).standings[whole];
-        if well && it.phase == ZonePhase::Away {
-            (it.probed, it.next) = (true, now);
+    fn index(&self, scope: ZoneScope) -> usize {
+        scope.class.unwrap_or(self.class_count)
+    }
+
+    fn health(&mut self, zone: ZoneId) -> &mut ZoneHealth {
+        let usages = self.class_count + 1;
+        self.zones.entry(zone).or_insert_with(|| ZoneHealth::new(usages))
+    }
+
+    fn usage(&mut self, scope: ZoneScope) -> &mut ZoneUsage {
+        let index = self.index(scope);
+        &mut self.health(scope.zone).usages[index]
+    }
+
+    /// The health of a zone that has one, if any zone is less than wholly in use.
+    fn restricted(&self, zone: ZoneId) -> Option<&ZoneHealth> {
+        if self.is_any_restricted {
+            self.zones.get(&zone)
+        } else {
+            None
         }
     }
+
+    fn update_is_any_restricted(&mut self) {
+        let mut usages = self.zones.values().flat_map(|health| &health.usages);
+        self.is_any_restricted = usages.any(|usage| usage.share < 1.0);
+    }
 }
--- /dev/null
+++ b/src/zones/probation.rs
@@ -0,0 +1,64 @@
+//! Probation requests and health checks of zones that are not in use.
+
+use super::health::{ZoneHealth, ZoneUsage};
+use super::{ZoneScope, Zones};
+use crate::{Span, Time, ZoneId, ZonePhase};
+
+impl Zones {
+    /// A zone that is away or returning and due for a probation request of this class; sooner for an idempotent one.
+    pub(crate) fn due_probation(&self, now: Time, class: usize, is_idempotent: bool) -> Option<ZoneScope> {
+        if !self.is_any_restricted {
+            return None;
+        }
+        let is_due = |usage: &ZoneUsage| {
+            let may_respond =
+                usage.phase == ZonePhase::Returning || !self.has_health_checks || usage.is_health_checked;
+            let extra = if is_idempotent { Span::ZERO } else { usage.probation_interval * 2.0 };
+            matches!(usage.phase, ZonePhase::Away | ZonePhase::Returning)
+                && may_respond
+                && now >= usage.next_probation + extra
+        };
+        let is_whole_due = |health: &ZoneHealth| is_due(&health.usages[self.class_count]);
+        let is_class_due = |health: &ZoneHealth| {
+            health.usages[self.class_count].share > 0.0 && is_due(&health.usages[class])
+        };
+        let find = |is_due: &dyn Fn(&ZoneHealth) -> bool| {
+            self.zones.iter().find(|(_, health)| is_due(health)).map(|(zone, _)| *zone)
+        };
+        let whole = find(&is_whole_due).map(ZoneScope::whole);
+        whole.or_else(|| find(&is_class_due).map(|zone| ZoneScope { zone, class: Some(class) }))
+    }
+
+    /// Takes in that a probation request has been sent.
+    pub(crate) fn record_probation(&mut self, now: Time, scope: ZoneScope) {
+        let usage = self.usage(scope);
+        usage.next_probation = now + usage.probation_interval;
+        usage.is_health_checked = scope.class.is_some();
+    }
+
+    /// The zones that are due for a health check, so that no request has to find out whether they respond.
+    pub(crate) fn due_health_checks(&self, now: Time) -> Vec<ZoneId> {
+        if !self.is_any_restricted || !self.has_health_checks {
+            return Vec::new();
+        }
+        let is_due = |usage: &ZoneUsage| {
+            usage.phase == ZonePhase::Away && !usage.is_health_checked && now >= usage.next_probation
+        };
+        let due = self.zones.iter().filter(|(_, health)| is_due(&health.usages[self.class_count]));
+        due.map(|(zone, _)| *zone).collect()
+    }
+
+    /// Takes in that a health check has been sent to a zone.
+    pub(crate) fn record_health_check_sent(&mut self, now: Time, zone: ZoneId) {
+        let usage = self.usage(ZoneScope::whole(zone));
+        usage.next_probation = now + usage.probation_interval;
+    }
+
+    /// Takes in the result of a health check; a zone that passes one is sent a probation request at once.
+    pub(crate) fn record_health_check(&mut self, now: Time, zone: ZoneId, is_success: bool) {
+        let usage = self.usage(ZoneScope::whole(zone));
+        if is_success && usage.phase == ZonePhase::Away {
+            (usage.is_health_checked, usage.next_probation) = (true, now);
+        }
+    }
+}
