--- a/src/lib.rs
+++ b/src/lib.rs
@@ -31,6 +31,7 @@
 mod latency;
 mod logic;
 mod moving_average;
+mod outliers;
 mod records;
 mod retries;
 mod running_median;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -6,6 +6,7 @@
 //! after silent servers, held requests and the list.
 
 use crate::latency::{ServerLatency, LATE, RESPONSE_GAIN};
+use crate::outliers::{decode_gossip, overdue_after, OutlierReason};
 use crate::records::*;
 use crate::retries::{AttemptHistory, PermittedActions, RetryScope};
 use crate::snapshot::SnapshotBounds;
@@ -30,24 +31,6 @@
 const KEPT: f64 = 0.5;
 /// And a server of its own zone, for each 1% that crossing is priced at.
 const NEAR: f64 = 0.2;
-/// Failures in a row, with no success between, that make a server suspect: as many as chance brings no more
-/// often than this at the rate of the whole fleet, and no fewer than these.
-const BY_CHANCE: f64 = 0.002;
-const FAILURES: f64 = 2.0;
-/// What a good beginning leaves of the answers that broke off after theirs: it ends a row of failures, but a
-/// server whose every answer breaks off begins each of them well.
-const BROKEN_KEEP: f64 = 0.75;
-/// Weight of a new answer in the fleet's rate of failures.
-const ILL_GAIN: f64 = 0.02;
-/// An attempt is overdue at this multiple of the pace of its class, and not before this share of its aim; of
-/// the whole aim if it is alone on its server, where it may well be a costly request and no hang.
-const OVERDUE: f64 = 4.0;
-const OVERDUE_LEAST: f64 = 0.6;
-const OVERDUE_ALONE: f64 = 1.0;
-/// At most this share of the serving fleet is suspect; beyond it the trouble is not the servers'.
-const SUSPECT_SHARE: f64 = 0.75;
-/// The longest pause between two trials of a suspect server.
-const TRIAL_MOST: Span = Span(4_000_000);
 /// The share of what an idle server leaves of the aim that an answer may wait for others: over it a server's
 /// limit shrinks, under it it grows.
 const TARGET: f64 = 0.25;
@@ -109,14 +92,6 @@
 pub(crate) const ASK_MOST: Span = Span((6_000_000 - 1_000_000) * 2 / 3);
 /// The news of a report fades over about this many milliseconds.
 const NEWS_MS: f64 = 2000.0;
-/// The part of its share that a doubted server is still sent, and for how long after own evidence or hearsay.
-const DOUBTED: f64 = 0.05;
-const DOUBT_OWN: Span = Span(8_000_000);
-const DOUBT_HEARD: Span = Span(5_000_000);
-/// Peers told of a doubted server, and the bytes that each request earns for that, saved up to a limit.
-const TELL_MOST: u32 = 64;
-const TELL_EARN: f64 = 25.0;
-const TELL_SAVED: f64 = 512.0;
 /// Candidates are asked for their load where all probes of a pick cost this much at most, and for this share
 /// of the aim.
 const ASK_PRICE: f64 = 0.01;
@@ -133,7 +108,6 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let mut blank = Balancer::blank(settings, seed);
-        blank.tell_bytes = TELL_SAVED;
         blank.ask_pause = blank.ask_round();
         Ok(blank)
     }
@@ -178,9 +152,10 @@
             }
             Event::ResponseAborted { server } => {
                 let Some(&s) = self.index.get(&server) else { return };
-                self.servers[s].broken += 1.0;
-                if self.fails(s, Some(true)) {
-                    self.suspect(now, s, "failing", out);
+                self.servers[s].health.record_aborted_response();
+                let health = &self.servers[s].health;
+                if self.outliers.has_failed_too_often(health, Some(true), self.blind) {
+                    self.handle_outlier(now, s, OutlierReason::Failing, out);
                 }
             }
             Event::ClientDisconnected { request } => {
@@ -189,14 +164,16 @@
             Event::Timer(TICK) => self.tick(now, out),
             Event::Timer(ASKED) => self.choose_asked(now, out),
             Event::Timer(_) => {}
-            Event::Gossip { payload, .. } => self.hear(now, &payload),
+            Event::Gossip { payload, .. } => self.record_gossip(now, &payload),
             Event::HealthChecked { server, outcome, report, .. } => {
                 let Some(&s) = self.index.get(&server) else { return };
                 let zone = self.servers[s].listed.zone;
                 self.zones.record_health_check(now, zone, outcome == Outcome::Success);
                 match report {
                     Some(report) => self.read_report(now, s, &report, RESPONSE_GAIN),
-                    None if outcome != Outcome::Success => self.suspect(now, s, "silent to probes", out),
+                    None if outcome != Outcome::Success => {
+                        self.handle_outlier(now, s, OutlierReason::FailsHealthChecks, out)
+                    }
                     None => {}
                 }
                 self.choose_asked(now, out);
@@ -253,7 +230,7 @@
         let live = Live { request, deadline, wanted_by, history, over_share };
         let hopeless = self.hopeless(now, &live);
         self.live.insert(id, live);
-        self.tell_bytes = (self.tell_bytes + TELL_EARN).min(TELL_SAVED);
+        self.outliers.record_request();
         self.retry_budget.earn(self.level, self.blind);
         // A blind balancer's limits per server bind nothing: by chance it lets in what the level says.
         if hopeless || (self.blind && self.rng.f64() >= self.level) {
@@ -405,8 +382,7 @@
     }
 
     fn ready(&self, now: Time, i: usize, ask: &Pick) -> bool {
-        let due = |q: &Suspicion| due(q, now, ask.safe);
-        self.allowed(now, i, ask) && (self.blind || self.servers[i].suspicion.as_deref().is_none_or(due))
+        self.allowed(now, i, ask) && (self.blind || self.servers[i].health.permits_request(now, ask.safe))
     }
 
     /// Whether a server may be sent this request now, be it suspect or not.
@@ -523,7 +499,7 @@
                 };
                 let known = if pick.warm == Some(c) { WARM } else { 1.0 };
                 // A suspect drawn for its trial goes first: by its own record it would never be tried.
-                let count = if s.suspicion.is_some() { 0.0 } else { f64::from(s.in_flight) + 1.0 };
+                let count = if s.health.is_ejected() { 0.0 } else { f64::from(s.in_flight) + 1.0 };
                 let load = (count * far * (s.latency.slowdown() * known).powf(0.5 * pick.heavy)).ln();
                 ((load / ALIKE).round() as i64, report.round() as i64, coin.to_bits())
             };
@@ -542,7 +518,7 @@
         let size = if size.is_finite() && size > 0.0 { size } else { 1.0 };
         let news = s.reported_at.map_or(0.0, |at| (-now.since(at).as_ms() / NEWS_MS).exp());
         let waiting = news * (s.reported + f64::from(s.sent_since)) + (1.0 - news) * self.crowd;
-        let doubt = if now < s.doubted_until { DOUBTED } else { 1.0 };
+        let doubt = s.health.weight(now);
         let latency = self.latencies.expected(s.listed.kind, &s.latency);
         let prices = &self.settings.prices;
         let kept = if self.kept(s, now) { 100.0 * KEPT * prices.handshake } else { 0.0 };
@@ -754,7 +730,7 @@
 
     /// What the servers of a zone were suspected of was the zone's.
     fn clear_suspicions(&mut self, now: Time, zone: ZoneId) {
-        self.of_zone(zone, |s| (s.suspicion, s.doubted_until) = (None, now));
+        self.of_zone(zone, |s| s.health.clear(now));
     }
 
     /// Cancels what is in flight in a zone that does not respond and may be sent elsewhere. That needs no retry budget,
@@ -810,30 +786,15 @@
         let s = &mut self.servers[flight.server];
         let idle = self.latencies.idle(flight.class, &s.latency);
         let target = idle + TARGET * (1.0 - idle);
-        match outcome {
-            Outcome::NotSent | Outcome::Cancelled | Outcome::TimedOut => {}
-            Outcome::Success => {
-                s.failures = 0;
-                s.broken *= BROKEN_KEEP;
-                s.last_answer = now;
-                if used < 1.0 {
-                    s.doubted_until = now;
-                }
-                self.latencies.record_success(flight.class, &mut s.latency, used);
-            }
-            // A full server is no sick one: it is only sent less.
-            Outcome::Rejected => s.last_answer = now,
+        let since_response = now.since(s.health.last_response_at()).as_ms();
+        if outcome == Outcome::ConnectFailed && blind && own > 0 && since_response < latency_objective {
             // While it answers on other connections it is full and neither dead nor cut off.
-            Outcome::ConnectFailed
-                if blind && own > 0 && now.since(s.last_answer).as_ms() < latency_objective =>
-            {
-                s.rest_until = now + Span::from_ms(latency_objective);
-            }
-            Outcome::ConnectFailed => s.failures += 1,
-            Outcome::ServerError | Outcome::ConnectionReset => {
-                s.failures += 1;
-                s.last_answer = now;
-            }
+            s.rest_until = now + Span::from_ms(latency_objective);
+        } else {
+            s.health.record_outcome(now, outcome, used < 1.0);
+        }
+        if outcome == Outcome::Success {
+            self.latencies.record_success(flight.class, &mut s.latency, used);
         }
         if used > 0.0 {
             self.latencies.record_latency(s.listed.kind, &mut s.latency, used);
@@ -863,36 +824,23 @@
         }
         if flight.trial {
             let good = outcome == Outcome::Success && self.latencies.is_good_probation(used);
+            s.health.record_probation(now, good);
             if good {
-                s.suspicion = None;
                 s.latency = ServerLatency::after_probation(used);
-                s.failures = 0;
-            } else if let Some(q) = &mut s.suspicion {
-                q.on_trial = false;
-                q.pause = (q.pause * 2.0).min(TRIAL_MOST);
-                q.next_trial = now + q.pause;
             }
             return;
         }
         let slow = self.latencies.is_slow(&s.latency);
         let late = self.blind && used >= 1.0 && outcome != Outcome::Rejected;
         let failed = outcome.is_failure();
-        let fails = self.fails(flight.server, (failed || used > 0.0).then_some(failed));
+        let failure = (failed || used > 0.0).then_some(failed);
+        let fails = self.outliers.has_failed_too_often(&s.health, failure, blind);
         if fails || slow || late {
-            self.suspect(now, flight.server, if slow { "slow" } else { "failing" }, out);
+            let reason = if slow { OutlierReason::Slow } else { OutlierReason::Failing };
+            self.handle_outlier(now, flight.server, reason, out);
         }
     }
 
-    /// Whether a server has failed more often than the fleet does; counts this answer in the fleet's rate.
-    fn fails(&mut self, server: usize, failed: Option<bool>) -> bool {
-        // The rate is of before this answer, or the first few failures would hide themselves.
-        let row = (BY_CHANCE.ln() / self.ill.clamp(1e-6, 0.6).ln()).ceil().max(FAILURES);
-        self.ill += failed.map_or(0.0, |failed| ILL_GAIN * (f64::from(failed) - self.ill));
-        let s = &self.servers[server];
-        let failures = f64::from(s.failures) + s.broken;
-        failures >= row || (self.blind && failures >= 1.0)
-    }
-
     /// Moves the common level by one answer.
     fn set_level(&mut self, used: f64) {
         let least = if self.blind { LEVEL_LEAST } else { 1.0 / f64::from(self.settings.balancers.max(1)) };
@@ -903,52 +851,29 @@
         self.level = (self.level + step / round as f64).clamp(least, 1.0);
     }
 
-    /// Takes a server out of the draw and out of memory, unless too many are out already.
-    fn suspect(&mut self, now: Time, server: usize, why: &str, out: &mut Vec<Action>) {
+    /// Ejects an outlier, unless too many servers are ejected already; with sparse traffic suspects it.
+    fn handle_outlier(&mut self, now: Time, slot: usize, reason: OutlierReason, out: &mut Vec<Action>) {
+        let s = &mut self.servers[slot];
         if self.blind {
-            return self.doubt(now, server, out);
+            self.memory.retain(|&m| m != slot);
+            return self.outliers.suspect(now, s.listed.server, &mut s.health, &mut self.rng, out);
         }
-        let (all, suspects) = (self.serving.members().len() as f64, self.suspects.len());
-        let s = &mut self.servers[server];
-        if s.suspicion.is_some() || (suspects + 1) as f64 > SUSPECT_SHARE * all {
+        if !self.outliers.eject(now, &mut s.health, self.serving.members().len()) {
             return;
         }
-        s.suspicion = Some(Suspicion::new(now));
-        self.memory.retain(|&m| m != server);
-        let text = format!(
-            "server {} {why}: pace {:.2} of median {:.2}",
-            s.listed.server.0,
-            s.latency.smoothed(),
-            self.latencies.median()
-        );
-        out.push(Action::Log { server: Some(s.listed.server), zone: None, text });
-        self.refile(server);
+        self.memory.retain(|&m| m != slot);
+        let (id, latency, median) = (s.listed.server, s.latency.smoothed(), self.latencies.median());
+        let text = format!("server {} {reason}: pace {latency:.2} of median {median:.2}", id.0);
+        out.push(Action::Log { server: Some(id), zone: None, text });
+        self.refile(slot);
     }
 
-    /// A blind balancer meets a server too seldom for trials: those of all balancers together would be a load
-    /// of their own. It sends a doubted server a small part of its share for a while and tells some peers,
-    /// for each of them would else lose a request of its own to find out.
-    fn doubt(&mut self, now: Time, server: usize, out: &mut Vec<Action>) {
-        let s = &mut self.servers[server];
-        s.doubted_until = now + DOUBT_OWN;
-        self.memory.retain(|&m| m != server);
-        let payload = s.listed.server.0.to_be_bytes().to_vec();
-        let paid = if self.settings.gossip { self.tell_bytes / payload.len() as f64 } else { 0.0 };
-        for _ in 0..(paid as u32).min(TELL_MOST).min(self.settings.balancers - 1) {
-            self.tell_bytes -= payload.len() as f64;
-            let peer = PeerId(self.rng.u32(0..self.settings.balancers));
-            out.push(Action::Gossip { to: Some(peer), payload: payload.clone() });
-        }
-    }
-
-    /// Hearsay makes a known server doubted for a short while and nothing else: old, lost or false news is
-    /// harmless.
-    fn hear(&mut self, now: Time, payload: &[u8]) {
-        let Ok(id) = payload.try_into().map(u32::from_be_bytes) else { return };
-        if let Some(&s) = self.index.get(&ServerId(id)) {
-            let s = &mut self.servers[s];
-            s.doubted_until = s.doubted_until.max(now + DOUBT_HEARD);
-            self.memory.retain(|&m| self.servers[m].doubted_until <= now);
+    /// Takes in a message from another balancer.
+    fn record_gossip(&mut self, now: Time, payload: &[u8]) {
+        let server = decode_gossip(payload).and_then(|server| self.index.get(&server));
+        if let Some(&slot) = server {
+            self.servers[slot].health.record_gossip(now);
+            self.memory.retain(|&m| !self.servers[m].health.is_suspected(now));
         }
     }
 
@@ -1056,15 +981,14 @@
         let overdue = |(&key, flight): (&(RequestId, u32), &Flight)| {
             let (server, latency_objective) =
                 (&self.servers[flight.server], self.settings.classes[flight.class].latency_objective);
-            let least = if server.in_flight > 1 { OVERDUE_LEAST } else { OVERDUE_ALONE };
             let work = self.live.get(&key.0).map_or(0.0, |live| self.work(live));
             let pace = self
                 .latencies
                 .usual(flight.class)
                 .max(self.latencies.median())
                 .max(work / latency_objective.as_ms());
-            let wait = latency_objective * (OVERDUE * pace).max(least);
-            let quiet = server.last_answer < flight.sent;
+            let wait = overdue_after(latency_objective, pace, server.in_flight);
+            let quiet = server.health.last_response_at() < flight.sent;
             let out = !flight.uploading && !flight.called && now.since(flight.sent) > wait;
             (quiet && out).then_some((key, flight.server, flight.sent))
         };
@@ -1077,7 +1001,7 @@
         let late = self.flights.values_mut().filter(late).map(|f| f.counted = true).count();
         (0..late).for_each(|_| self.set_level(LATE));
         for &(key, server, sent) in &silent {
-            self.suspect(now, server, "silent", out);
+            self.handle_outlier(now, server, OutlierReason::Unresponsive, out);
             self.record_zone_unanswered(now, server, sent, out);
             if self.flights.get(&key).is_some_and(|flight| !flight.called) {
                 self.call_back(now, key, false, out);
@@ -1104,10 +1028,3 @@
         called
     }
 }
-
-/// Whether a request may try the server. Safe ones first; any will do once none has come for two pauses,
-/// or a site without a safe class would never take a server back.
-fn due(q: &Suspicion, now: Time, safe: bool) -> bool {
-    let at = if safe { q.next_trial } else { q.next_trial + q.pause * 2.0 };
-    !q.on_trial && now >= at
-}
--- a/src/records.rs
+++ b/src/records.rs
@@ -2,6 +2,7 @@
 
 use crate::due_times::DueTimes;
 use crate::latency::{Latencies, ServerLatency};
+use crate::outliers::{Outliers, ServerHealth};
 use crate::retries::{AttemptHistory, RetryBudget, RetryScope};
 use crate::slot_sets::{SlotGroups, SlotSet};
 use crate::slow_start::{ServerSlowStart, SlowStart};
@@ -10,8 +11,6 @@
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The first pause between two trials of a suspect server.
-pub(crate) const TRIAL_FIRST: Span = Span(250_000);
 /// Keys remembered; past that all are forgotten, which costs each of them one cold run.
 const KEYS_MOST: usize = 10_000;
 /// Traffic is counted over about this many milliseconds.
@@ -80,19 +79,6 @@
     pub(crate) called: bool,
 }
 
-pub(crate) struct Suspicion {
-    pub(crate) next_trial: Time,
-    pub(crate) pause: Span,
-    pub(crate) on_trial: bool,
-}
-
-impl Suspicion {
-    /// One whose first trial is after the first pause. It is kept apart from its server, as few servers have one.
-    pub(crate) fn new(now: Time) -> Box<Self> {
-        Box::new(Suspicion { next_trial: now + TRIAL_FIRST, pause: TRIAL_FIRST, on_trial: false })
-    }
-}
-
 pub(crate) struct Server {
     pub(crate) listed: Endpoint,
     /// The list and the operators let it be sent something.
@@ -101,10 +87,7 @@
     /// Those of them whose requests are still coming.
     pub(crate) uploading: u32,
     pub(crate) latency: ServerLatency,
-    pub(crate) failures: u32,
-    /// Answers that broke off of late.
-    pub(crate) broken: f64,
-    pub(crate) last_answer: Time,
+    pub(crate) health: ServerHealth,
     /// Connections that its whole answers left idle and no request has taken since, and when the last did.
     pub(crate) idle: u32,
     pub(crate) idle_at: Time,
@@ -116,9 +99,6 @@
     /// When its last answer came, and what that took in milliseconds.
     pub(crate) ended: Time,
     pub(crate) took: f64,
-    pub(crate) suspicion: Option<Box<Suspicion>>,
-    /// Until then a blind balancer doubts it, by what it saw itself or by hearsay.
-    pub(crate) doubted_until: Time,
     pub(crate) slow_start: ServerSlowStart,
     /// Load by the last report, and sends since.
     pub(crate) reported: f64,
@@ -134,9 +114,7 @@
             in_flight: 0,
             uploading: 0,
             latency: ServerLatency::new(),
-            failures: 0,
-            broken: 0.0,
-            last_answer: now,
+            health: ServerHealth::new(now),
             idle: 0,
             idle_at: now,
             limit,
@@ -144,8 +122,6 @@
             cut_at: Time(0),
             ended: now,
             took: 0.0,
-            suspicion: None,
-            doubted_until: now,
             slow_start: ServerSlowStart::default(),
             reported: 0.0,
             reported_at: None,
@@ -155,11 +131,12 @@
 
     /// A new process on the same machine: what was learned of the old one says nothing, and it is cold.
     pub(crate) fn renew(&mut self, listed: Endpoint, limit: f64, now: Time) {
-        let Server { in_flight, uploading, last_answer, .. } = *self;
-        let mut slow_start = std::mem::take(&mut self.slow_start);
-        slow_start.restart();
+        let Server { in_flight, uploading, .. } = *self;
         let new = Server::new(listed, limit, now);
-        *self = Server { in_flight, uploading, last_answer, slow_start, ..new };
+        let mut previous = std::mem::replace(self, Server { in_flight, uploading, ..new });
+        previous.slow_start.restart();
+        previous.health.restart(now);
+        (self.slow_start, self.health) = (previous.slow_start, previous.health);
     }
 
     /// Its latency, if that counts in the median.
@@ -184,7 +161,7 @@
             pace: self.latency.smoothed(),
             samples: self.latency.samples(),
             cold_sent: self.slow_start.sent(now),
-            suspect: self.suspicion.is_some(),
+            suspect: self.health.is_ejected(),
         }
     }
 
@@ -228,8 +205,6 @@
     /// Some class may be repeated in its cell alone, so that cells have to be known.
     pub(crate) cells: bool,
     pub(crate) region: SlotSet,
-    /// Those of the open ones that are suspect.
-    pub(crate) suspects: BTreeSet<usize>,
     /// All that have a slot by zone.
     pub(crate) in_zone: SlotGroups<ZoneId>,
     pub(crate) regions: BTreeMap<ZoneId, u32>,
@@ -250,14 +225,11 @@
     pub(crate) counted_at: Time,
     /// Classes that are refused last.
     pub(crate) spared: Vec<bool>,
-    /// The share of lost attempts among those of servers that are not suspect, of late.
-    pub(crate) ill: f64,
+    pub(crate) outliers: Outliers,
     /// Scales all limits: a balancer sees few answers of each server but many of the fleet, so a jam of most
     /// servers is answered within a few round trips, where the single limits would take half a minute.
     pub(crate) level: f64,
     pub(crate) zones: Zones,
-    /// Bytes that may be told to peers.
-    pub(crate) tell_bytes: f64,
     /// What the last reports said on average.
     pub(crate) crowd: f64,
     pub(crate) retry_budget: RetryBudget,
@@ -289,7 +261,6 @@
             in_cell: SlotGroups::default(),
             cells: settings.classes.iter().any(in_cell),
             region: SlotSet::default(),
-            suspects: BTreeSet::new(),
             in_zone: SlotGroups::default(),
             regions: BTreeMap::new(),
             cordoned: BTreeSet::new(),
@@ -306,10 +277,9 @@
             tenant_asked: vec![0.0; settings.tenants.len()],
             counted_at: Time(0),
             spared: vec![false; classes],
-            ill: 0.0,
+            outliers: Outliers::new(&settings),
             level: 1.0,
             crowd: 0.0,
-            tell_bytes: 0.0,
             zones: Zones::new(&settings),
             retry_budget: RetryBudget::new(),
             ask_pause: Span::ZERO,
@@ -383,7 +353,7 @@
                 self.slow_start.restore_sent(now, &mut s.slow_start, work);
             }
             if server.suspect && !self.blind {
-                s.suspicion = Some(Suspicion::new(now));
+                s.health.eject(now);
             }
             self.refile(slot);
         }
@@ -410,10 +380,7 @@
         self.in_cell.set(i, (open && self.cells).then_some(cell));
         self.in_zone.set(i, Some(zone));
         self.slow_start.index(i, &s.slow_start, s.listed.started, open);
-        match open && s.suspicion.is_some() {
-            true => self.suspects.insert(i),
-            false => self.suspects.remove(&i),
-        };
+        self.outliers.index(i, &s.health, open);
         let region = open && self.in_region(zone);
         self.region.set(i, region);
         self.latencies.mark_changed(i);
@@ -572,8 +539,7 @@
         s.idle = if kept { s.idle - 1 } else { 0 };
         self.slow_start.record_send(now, &mut s.slow_start, slow_start_factor, open_servers, pick.work);
         self.slow_start.index(server, &s.slow_start, s.listed.started, s.open);
-        let trial = s.suspicion.is_some();
-        s.suspicion.iter_mut().for_each(|q| q.on_trial = true);
+        let trial = s.health.record_send();
         let (class, again) = (pick.class, attempt > 0);
         let flight =
             Flight { server, class, sent: now, trial, again, uploading, counted: false, called: false };
@@ -635,7 +601,7 @@
     pub fn snapshot(&self, now: Time) -> Snapshot {
         let mut servers: Vec<&Server> = self.servers.iter().filter(|s| s.open).collect();
         snapshot::select_servers(&mut servers, |s| ServerRelevance {
-            is_ejected: s.suspicion.is_some(),
+            is_ejected: s.health.is_ejected(),
             is_measured: s.latency.samples() > 0,
             last_response_at: s.ended,
         });
@@ -652,11 +618,14 @@
     /// list's word, by the operators' or by choice.
     pub fn endpoint_counts(&self, now: Time) -> EndpointCounts {
         let listed = || self.servers.iter().filter(|s| s.listed.status != Status::Gone);
-        let doubted = |s: &Server| self.blind && s.doubted_until > now;
-        let avoided = |s: &&Server| !s.open || s.suspicion.is_some() || doubted(s);
+        let avoided = |s: &&Server| !s.open || self.is_outlier(s, now);
         EndpointCounts { listed: listed().count(), avoided: listed().filter(avoided).count() }
     }
 
+    fn is_outlier(&self, s: &Server, now: Time) -> bool {
+        s.health.is_ejected() || (self.blind && s.health.is_suspected(now))
+    }
+
     /// What it makes of each server that the list has not removed.
     pub fn server_views(&self, now: Time) -> Vec<ServerView> {
         let listed = self.servers.iter().filter(|s| s.listed.status != Status::Gone);
@@ -665,7 +634,7 @@
             zone: s.listed.zone,
             status: s.listed.status,
             cordoned: self.cordoned.contains(&s.listed.server),
-            outlier: s.suspicion.is_some() || (self.blind && s.doubted_until > now),
+            outlier: self.is_outlier(s, now),
             in_flight: s.in_flight,
             limit: s.limit * self.level,
             slow_start_factor: self.slow_start_factor(s, now),
@@ -682,7 +651,7 @@
     pub fn summary(&self) -> String {
         let serving = || self.serving.members().iter().map(|&i| &self.servers[i]);
         let limits = serving().map(|s| s.limit);
-        let suspects = self.suspects.len();
+        let suspects = self.outliers.ejected().len();
         let (least, sum) = limits.fold((f64::INFINITY, 0.0), |(least, sum), l| (least.min(l), sum + l));
         format!(
             "serving {} suspect {suspects} in flight {} held {} level {:.2} limits {sum:.1} least {least:.2} \
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -61,8 +61,8 @@
     }
     let region = |i: usize| open(i) && b.in_region(b.servers[i].listed.zone);
     assert_eq!(sorted(b.region.members().to_vec()), those(&region), "region");
-    let suspect = |i: usize| open(i) && b.servers[i].suspicion.is_some();
-    assert_eq!(b.suspects.iter().copied().collect::<Vec<_>>(), those(&suspect), "suspects");
+    let ejected = |i: usize| open(i) && b.servers[i].health.is_ejected();
+    assert_eq!(b.outliers.ejected().iter().copied().collect::<Vec<_>>(), those(&ejected), "ejected");
     let warm = |i: usize| open(i) && b.slow_start_factor(&b.servers[i], b.slow_start.checked_at()) >= 1.0;
     assert_eq!(b.slow_start.warm_count(b.serving.members().len()), those(&warm).len(), "warm");
     let first_try = |i: usize| open(i) && b.servers[i].slow_start.has_first_try();
@@ -92,7 +92,7 @@
 
 struct Seen {
     reused: bool,
-    suspect: bool,
+    ejected: bool,
     first_try: bool,
     warming: bool,
     region: bool,
@@ -108,7 +108,7 @@
     let mut flights: Vec<(RequestId, u32, Time)> = Vec::new();
     let mut sent: BTreeMap<RequestId, u32> = BTreeMap::new();
     let mut next = 0;
-    let mut seen = Seen { reused: false, suspect: false, first_try: false, warming: false, region: false };
+    let mut seen = Seen { reused: false, ejected: false, first_try: false, warming: false, region: false };
     for step in 0..steps {
         now = now + Span(rng.u64(0..40_000)) + Span::from_ms(if rng.u32(0..200) == 0 { 4000.0 } else { 0.0 });
         let free = b.free.len();
@@ -195,7 +195,7 @@
             }
         }
         seen.reused |= b.free.len() < free;
-        seen.suspect |= !b.suspects.is_empty();
+        seen.ejected |= !b.outliers.ejected().is_empty();
         seen.first_try |= !b.slow_start.all_first_tries().is_empty();
         seen.warming |= b.slow_start.warming_count() > 0;
         seen.region |= !b.region.members().is_empty();
@@ -210,7 +210,7 @@
     let most = |so: fn(&Seen) -> bool| walks.iter().filter(|seen| so(seen)).count();
     let counts = [
         ("reused", most(|s| s.reused)),
-        ("suspect", most(|s| s.suspect)),
+        ("ejected", most(|s| s.ejected)),
         ("first try", most(|s| s.first_try)),
         ("warming", most(|s| s.warming)),
         ("region", most(|s| s.region)),
