--- a/src/logic.rs
+++ b/src/logic.rs
@@ -5,6 +5,7 @@
 //! `outcome` learns from the answer and decides what follows, `end` gives the one final answer. `tick` looks
 //! after silent servers, held requests and the list.
 
+use crate::concurrency::{self, LimitSample, MAX_LIMIT};
 use crate::latency::{ServerLatency, LATE, RESPONSE_GAIN};
 use crate::outliers::{decode_gossip, overdue_after, OutlierReason};
 use crate::records::*;
@@ -31,9 +32,6 @@
 const KEPT: f64 = 0.5;
 /// And a server of its own zone, for each 1% that crossing is priced at.
 const NEAR: f64 = 0.2;
-/// The share of what an idle server leaves of the aim that an answer may wait for others: over it a server's
-/// limit shrinks, under it it grows.
-const TARGET: f64 = 0.25;
 /// A server in another zone weighs this much more for each 1% of a request that crossing is priced at; never
 /// as much as one request more at zero, so that the price alone does not fill a zone.
 const AWAY: f64 = 0.25;
@@ -44,30 +42,6 @@
 const WARM: f64 = 0.7;
 /// Loads that differ by less than this (as a logarithm) are alike: a quarter is well within chance.
 const ALIKE: f64 = 0.25;
-/// What an answer past its aim leaves of a server's limit.
-const LATE_CUT: f64 = 0.85;
-/// A limit in full use grows by this much in the time that it takes to use it once.
-const GROWTH: f64 = 0.1;
-/// And shrinks by this much of its overshoot an answer; 0.04 and 0.08 cost more than they save.
-const SHRINK: f64 = 0.02;
-/// The common level loses this share of itself in a round trip of slow answers (over twice the target), and
-/// gains `LEVEL_UP` of its root in one of good ones: a quarter of slow answers holds it, low levels catch up.
-const LEVEL_CUT: f64 = 0.6;
-const LEVEL_UP: f64 = 0.2;
-/// What a blind one loses, whose slow answers are those past their aim: one in seven holds it. Servers that
-/// are crowded for long may turn slower and stay so, and a jam fed by a quarter of late answers never ends.
-const LEVEL_CUT_BLIND: f64 = 1.2;
-/// A blind balancer counts this many answers as a round trip at least, or a few that are late by chance would
-/// shut it; and it always lets this share in, or it would never see a jam end.
-const ROUND_LEAST: usize = 8;
-const LEVEL_LEAST: f64 = 0.02;
-/// Own requests in flight that a server is first thought to bear, what it is given soon (slow start, by
-/// `GROWTH_QUICK` an answer) if nothing speaks against it, and the most it is ever given. Slow start ends
-/// well before a server that falls silent could hold a good part of all that is in flight.
-const LIMIT_FIRST: f64 = 2.0;
-const LIMIT_SOON: f64 = 6.0;
-const GROWTH_QUICK: f64 = 0.5;
-const LIMIT_MOST: f64 = 1000.0;
 /// How often the balancer looks around when it holds requests, and when it does not.
 const TICK_BUSY: Span = Span(10_000);
 const TICK_IDLE: Span = Span(50_000);
@@ -231,9 +205,9 @@
         let hopeless = self.hopeless(now, &live);
         self.live.insert(id, live);
         self.outliers.record_request();
-        self.retry_budget.earn(self.level, self.blind);
+        self.retry_budget.earn(self.level.value(), self.blind);
         // A blind balancer's limits per server bind nothing: by chance it lets in what the level says.
-        if hopeless || (self.blind && self.rng.f64() >= self.level) {
+        if hopeless || (self.blind && self.rng.f64() >= self.level.value()) {
             self.end(now, id, out);
         } else if !self.place(now, id, out) {
             self.hold(now, id, out);
@@ -396,18 +370,12 @@
     /// balancers cannot push it over while the warm ones are held back.
     fn has_room(&self, now: Time, s: &Server, work: f64) -> bool {
         if self.blind {
-            return now >= s.rest_until;
+            return s.limit.is_rested(now);
         }
-        // Many balancers with one request each are a crowd too: below one, the limit is kept by rests, judged
-        // by the limit as it is now; else one late answer at a low level would rest a server for a minute.
-        let limit = s.limit * self.level;
-        let rested =
-            now.since(s.ended).as_ms() >= s.took * (1.0 / limit - 1.0).max(0.0) && now >= s.rest_until;
         let slow_start_factor = self.slow_start_factor(s, now);
         let open_servers = self.serving.members().len();
-        rested
+        s.limit.has_capacity(now, self.level.value(), slow_start_factor, s.at_work())
             && self.slow_start.has_budget(now, &s.slow_start, slow_start_factor, open_servers, work)
-            && f64::from(s.at_work()) + 1.0 <= (limit * slow_start_factor).max(1.0)
     }
 
     /// Fresh uniform draws from the servers that are ready for the request, and the remembered ones that are.
@@ -424,7 +392,7 @@
         let draws = self.compared() - self.remembered();
         let mut found: Vec<usize> = Vec::with_capacity(draws + self.memory.len() + 1);
         let crossing = self.settings.prices.cross_zone > 0.0 || !self.regions.is_empty();
-        let near = if crossing && self.level >= NEAR_LEVEL && !self.blind { NEAR_DRAWS } else { 0 };
+        let near = if crossing && self.level.value() >= NEAR_LEVEL && !self.blind { NEAR_DRAWS } else { 0 };
         for (round, draws, looks) in [(0, near, near), (1, near, near), (2, draws, 4 * draws)] {
             let (most, all) = (found.len() + draws, self.pool(round, ask.reach).len());
             for _ in 0..looks {
@@ -770,85 +738,78 @@
 
     // ---- what is learned of servers -----------------------------------------------------------------
 
+    /// Takes in what the end of an attempt says of its server: latency, concurrency limit and failures.
     fn learn(&mut self, now: Time, flight: &Flight, outcome: Outcome, elapsed: Span, out: &mut Vec<Action>) {
-        let latency_objective = self.settings.classes[flight.class].latency_objective.as_ms();
-        let least = 1.0 / f64::from(self.settings.balancers.max(1));
-        let (own, blind) = (self.servers[flight.server].at_work(), self.blind);
-        let used = match outcome {
-            Outcome::Success => (elapsed.as_ms() / latency_objective).min(LATE),
-            // Called back is not stopped: the work may still stand in the server's queue.
+        let latency_objective = self.settings.classes[flight.class].latency_objective;
+        let is_sparse = self.blind;
+        let latency = match outcome {
+            Outcome::Success => (elapsed.as_ms() / latency_objective.as_ms()).min(LATE),
+            // Cancelled does not mean stopped: the work may still be in the server's queue.
             Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled => LATE,
             _ => 0.0,
         };
-        if used > 0.0 && !flight.counted && !(self.blind && outcome == Outcome::Rejected && !flight.again) {
-            self.set_level(used);
+        let says_little = is_sparse && outcome == Outcome::Rejected && !flight.again;
+        if latency > 0.0 && !flight.counted && !says_little {
+            self.level.record(latency, self.flights.len(), is_sparse);
         }
         let s = &mut self.servers[flight.server];
-        let idle = self.latencies.idle(flight.class, &s.latency);
-        let target = idle + TARGET * (1.0 - idle);
-        let since_response = now.since(s.health.last_response_at()).as_ms();
-        if outcome == Outcome::ConnectFailed && blind && own > 0 && since_response < latency_objective {
-            // While it answers on other connections it is full and neither dead nor cut off.
-            s.rest_until = now + Span::from_ms(latency_objective);
+        let idle_latency = self.latencies.idle(flight.class, &s.latency);
+        let responds = now.since(s.health.last_response_at()) < latency_objective;
+        if outcome == Outcome::ConnectFailed && is_sparse && s.at_work() > 0 && responds {
+            // While it responds on other connections it is full and neither dead nor cut off.
+            s.limit.rest(now, latency_objective);
         } else {
-            s.health.record_outcome(now, outcome, used < 1.0);
+            s.health.record_outcome(now, outcome, latency < LATE);
         }
         if outcome == Outcome::Success {
-            self.latencies.record_success(flight.class, &mut s.latency, used);
-        }
-        if used > 0.0 {
-            self.latencies.record_latency(s.listed.kind, &mut s.latency, used);
-            // Slower than the pace forgets, or its lag would drive the limit down too far. A full queue is
-            // sure evidence and counts at once, a late answer only at a slow pace: alone it may be costly.
-            let over = (s.latency.smoothed() / target - 1.0).min(2.0);
-            let sure = used >= 1.0 && (over > 0.0 || outcome != Outcome::Success);
-            // What was sent before the last cut tells of the same stand-still again.
-            let factor = match sure {
-                true if flight.sent < s.cut_at => 1.0,
-                true => LATE_CUT,
-                false => 1.0 - SHRINK * over.min(used / target - 1.0).max(0.0),
+            self.latencies.record_success(flight.class, &mut s.latency, latency);
+        }
+        if latency > 0.0 {
+            self.latencies.record_latency(s.listed.kind, &mut s.latency, latency);
+            let sample = LimitSample {
+                now,
+                sent_at: flight.sent,
+                outcome,
+                elapsed,
+                latency_objective,
+                latency,
+                smoothed_latency: s.latency.smoothed(),
+                idle_latency,
+                usual_latency: self.latencies.usual(flight.class),
+                at_work: s.at_work(),
             };
-            s.cut_at = if factor == LATE_CUT { now } else { s.cut_at };
-            s.limit = (s.limit * factor).max(least);
-            if over <= 0.0 && used < 1.0 && f64::from(own) + 1.0 >= (0.7 * s.limit).floor() {
-                let quick = s.cut_at == Time(0) && s.limit < LIMIT_SOON;
-                let growth = if quick { GROWTH_QUICK } else { GROWTH / s.limit.max(1.0) };
-                s.limit = (s.limit + growth).min(LIMIT_MOST);
-            }
-            // A full server rests in any case, or what it turns away would go round the fleet at once.
-            (s.ended, s.took) = (now, elapsed.as_ms());
-            if outcome == Outcome::Rejected {
-                s.took = latency_objective;
-                s.rest_until = now + Span::from_ms(latency_objective * self.latencies.usual(flight.class));
-            }
+            s.limit.record(&sample, concurrency::min_limit(&self.settings));
         }
         if flight.trial {
-            let good = outcome == Outcome::Success && self.latencies.is_good_probation(used);
-            s.health.record_probation(now, good);
-            if good {
-                s.latency = ServerLatency::after_probation(used);
+            let is_good = outcome == Outcome::Success && self.latencies.is_good_probation(latency);
+            s.health.record_probation(now, is_good);
+            if is_good {
+                s.latency = ServerLatency::after_probation(latency);
             }
             return;
         }
-        let slow = self.latencies.is_slow(&s.latency);
-        let late = self.blind && used >= 1.0 && outcome != Outcome::Rejected;
-        let failed = outcome.is_failure();
-        let failure = (failed || used > 0.0).then_some(failed);
-        let fails = self.outliers.has_failed_too_often(&s.health, failure, blind);
-        if fails || slow || late {
-            let reason = if slow { OutlierReason::Slow } else { OutlierReason::Failing };
-            self.handle_outlier(now, flight.server, reason, out);
-        }
+        self.detect_outlier(now, flight.server, outcome, latency, out);
     }
 
-    /// Moves the common level by one answer.
-    fn set_level(&mut self, used: f64) {
-        let least = if self.blind { LEVEL_LEAST } else { 1.0 / f64::from(self.settings.balancers.max(1)) };
-        let slow = if self.blind { 1.0 } else { 2.0 * TARGET };
-        let cut = if self.blind { LEVEL_CUT_BLIND } else { LEVEL_CUT };
-        let step = if used >= slow { -cut * self.level } else { LEVEL_UP * self.level.sqrt() };
-        let round = if self.blind { ROUND_LEAST.max(self.flights.len() + 1) } else { self.flights.len() + 1 };
-        self.level = (self.level + step / round as f64).clamp(least, 1.0);
+    /// Looks for what the end of an attempt makes of its server.
+    fn detect_outlier(
+        &mut self,
+        now: Time,
+        slot: usize,
+        outcome: Outcome,
+        latency: f64,
+        out: &mut Vec<Action>,
+    ) {
+        let s = &self.servers[slot];
+        let is_slow = self.latencies.is_slow(&s.latency);
+        let is_late = self.blind && latency >= LATE && outcome != Outcome::Rejected;
+        let is_failure = outcome.is_failure();
+        let says_whether = (is_failure || latency > 0.0).then_some(is_failure);
+        let is_failing = self.outliers.has_failed_too_often(&s.health, says_whether, self.blind);
+        if is_failing || is_slow || is_late {
+            let reason = if is_slow { OutlierReason::Slow } else { OutlierReason::Failing };
+            self.handle_outlier(now, slot, reason, out);
+        }
     }
 
     /// Ejects an outlier, unless too many servers are ejected already; with sparse traffic suspects it.
@@ -896,7 +857,7 @@
             EndpointUpdate::Complete(lines) | EndpointUpdate::Saved(lines) => (lines, true),
         };
         self.ask_pause = if part { self.ask_pause } else { self.ask_round() };
-        self.take_lines(now, lines, complete, LIMIT_FIRST);
+        self.take_lines(now, lines, complete);
         self.reopen(now, out);
     }
 
@@ -918,10 +879,9 @@
     }
 
     fn restore_within_bounds(&mut self, now: Time, snapshot: Snapshot) {
-        let min_limit = 1.0 / f64::from(self.settings.balancers.max(1));
-        let min_level = if self.blind { LEVEL_LEAST } else { min_limit };
-        let bounds = SnapshotBounds { min_limit, max_limit: LIMIT_MOST, max_latency: LATE };
-        self.restore(now, snapshot, min_level, &bounds);
+        let min_limit = concurrency::min_limit(&self.settings);
+        let bounds = SnapshotBounds { min_limit, max_limit: MAX_LIMIT, max_latency: LATE };
+        self.restore(now, snapshot, &bounds);
     }
 
     fn cordon(&mut self, now: Time, server: ServerId, out: &mut Vec<Action>) {
@@ -940,7 +900,7 @@
         }
         let Some(&i) = self.index.get(&server) else { return };
         let s = &mut self.servers[i];
-        s.renew(s.listed.clone(), LIMIT_FIRST, now);
+        s.renew(s.listed.clone(), now);
         s.slow_start.restore(at);
         self.try_again(i, at);
         out.push(Action::CloseIdleConnections { server });
@@ -999,7 +959,7 @@
             blind && !f.counted && !f.uploading && now.since(f.sent) > classes[f.class].latency_objective
         };
         let late = self.flights.values_mut().filter(late).map(|f| f.counted = true).count();
-        (0..late).for_each(|_| self.set_level(LATE));
+        (0..late).for_each(|_| self.level.record(LATE, self.flights.len(), self.blind));
         for &(key, server, sent) in &silent {
             self.handle_outlier(now, server, OutlierReason::Unresponsive, out);
             self.record_zone_unanswered(now, server, sent, out);
--- a/src/records.rs
+++ b/src/records.rs
@@ -1,5 +1,6 @@
 //! What the decisions keep of requests, attempts and servers: records only, nothing is decided here.
 
+use crate::concurrency::{AdmissionLevel, ServerLimit};
 use crate::due_times::DueTimes;
 use crate::latency::{Latencies, ServerLatency};
 use crate::outliers::{Outliers, ServerHealth};
@@ -91,14 +92,7 @@
     /// Connections that its whole answers left idle and no request has taken since, and when the last did.
     pub(crate) idle: u32,
     pub(crate) idle_at: Time,
-    /// Own requests that it may hold; under one, a rest follows each answer.
-    pub(crate) limit: f64,
-    pub(crate) rest_until: Time,
-    /// When its limit was last cut for a late answer or a full queue.
-    pub(crate) cut_at: Time,
-    /// When its last answer came, and what that took in milliseconds.
-    pub(crate) ended: Time,
-    pub(crate) took: f64,
+    pub(crate) limit: ServerLimit,
     pub(crate) slow_start: ServerSlowStart,
     /// Load by the last report, and sends since.
     pub(crate) reported: f64,
@@ -107,7 +101,7 @@
 }
 
 impl Server {
-    pub(crate) fn new(listed: Endpoint, limit: f64, now: Time) -> Self {
+    pub(crate) fn new(listed: Endpoint, now: Time) -> Self {
         Server {
             listed,
             open: false,
@@ -117,11 +111,7 @@
             health: ServerHealth::new(now),
             idle: 0,
             idle_at: now,
-            limit,
-            rest_until: now,
-            cut_at: Time(0),
-            ended: now,
-            took: 0.0,
+            limit: ServerLimit::new(now),
             slow_start: ServerSlowStart::default(),
             reported: 0.0,
             reported_at: None,
@@ -130,9 +120,9 @@
     }
 
     /// A new process on the same machine: what was learned of the old one says nothing, and it is cold.
-    pub(crate) fn renew(&mut self, listed: Endpoint, limit: f64, now: Time) {
+    pub(crate) fn renew(&mut self, listed: Endpoint, now: Time) {
         let Server { in_flight, uploading, .. } = *self;
-        let new = Server::new(listed, limit, now);
+        let new = Server::new(listed, now);
         let mut previous = std::mem::replace(self, Server { in_flight, uploading, ..new });
         previous.slow_start.restart();
         previous.health.restart(now);
@@ -155,8 +145,8 @@
         ServerSnapshot {
             server: self.listed.server,
             started: self.listed.started,
-            limit: self.limit,
-            cut: self.cut_at > Time(0),
+            limit: self.limit.value(),
+            cut: self.limit.was_reduced(),
             stretch: self.latency.slowdown(),
             pace: self.latency.smoothed(),
             samples: self.latency.samples(),
@@ -226,9 +216,7 @@
     /// Classes that are refused last.
     pub(crate) spared: Vec<bool>,
     pub(crate) outliers: Outliers,
-    /// Scales all limits: a balancer sees few answers of each server but many of the fleet, so a jam of most
-    /// servers is answered within a few round trips, where the single limits would take half a minute.
-    pub(crate) level: f64,
+    pub(crate) level: AdmissionLevel,
     pub(crate) zones: Zones,
     /// What the last reports said on average.
     pub(crate) crowd: f64,
@@ -278,7 +266,7 @@
             counted_at: Time(0),
             spared: vec![false; classes],
             outliers: Outliers::new(&settings),
-            level: 1.0,
+            level: AdmissionLevel::new(&settings),
             crowd: 0.0,
             zones: Zones::new(&settings),
             retry_budget: RetryBudget::new(),
@@ -326,8 +314,10 @@
 
     /// Restores what another balancer has learned, server by server as long as its process is the same; what is not
     /// usable is left out.
-    pub(crate) fn restore(&mut self, now: Time, snapshot: Snapshot, min_level: f64, bounds: &SnapshotBounds) {
-        self.level = snapshot.usable_level(min_level).unwrap_or(self.level);
+    pub(crate) fn restore(&mut self, now: Time, snapshot: Snapshot, bounds: &SnapshotBounds) {
+        if let Some(level) = snapshot.usable_level(self.level.min(self.blind)) {
+            self.level.restore(level);
+        }
         if let Some(median) = snapshot.usable_median(bounds.max_latency) {
             self.latencies.restore_median(median);
         }
@@ -346,8 +336,7 @@
                 continue;
             }
             let Some(server) = server.bounded(bounds) else { continue };
-            s.limit = server.limit;
-            s.cut_at = if server.cut { Time(1) } else { Time(0) };
+            s.limit.restore(server.limit, server.cut);
             s.latency = ServerLatency::restored(server.stretch, server.pace, server.samples);
             if let Some(work) = server.usable_cold_sent() {
                 self.slow_start.restore_sent(now, &mut s.slow_start, work);
@@ -470,8 +459,8 @@
         }
     }
 
-    /// Takes in lines of the list; one that names a new process begins with `limit`.
-    pub(crate) fn take_lines(&mut self, now: Time, lines: Vec<Endpoint>, complete: bool, limit: f64) {
+    /// Takes in lines of the list.
+    pub(crate) fn take_lines(&mut self, now: Time, lines: Vec<Endpoint>, complete: bool) {
         let mut touched: Vec<usize> = Vec::with_capacity(lines.len());
         if complete {
             touched.extend(self.index.values());
@@ -485,14 +474,14 @@
                     touched.push(i);
                     let s = &mut self.servers[i];
                     if line.started.is_some() && line.started != s.listed.started {
-                        s.renew(line, limit, now);
+                        s.renew(line, now);
                     } else {
                         s.listed = line;
                     }
                 }
                 None if status == Status::Gone => {}
                 None => {
-                    let (new, i) = (Server::new(line, limit, now), self.free.pop());
+                    let (new, i) = (Server::new(line, now), self.free.pop());
                     let i = i.unwrap_or(self.servers.len());
                     match self.servers.get_mut(i) {
                         Some(slot) => *slot = new,
@@ -603,10 +592,10 @@
         snapshot::select_servers(&mut servers, |s| ServerRelevance {
             is_ejected: s.health.is_ejected(),
             is_measured: s.latency.samples() > 0,
-            last_response_at: s.ended,
+            last_response_at: s.limit.last_sample_at(),
         });
         Snapshot {
-            level: self.level,
+            level: self.level.value(),
             median: self.latencies.median(),
             class_pace: self.latencies.all_usual(),
             warm_sent: self.slow_start.warm_sent(now),
@@ -636,7 +625,7 @@
             cordoned: self.cordoned.contains(&s.listed.server),
             outlier: self.is_outlier(s, now),
             in_flight: s.in_flight,
-            limit: s.limit * self.level,
+            limit: s.limit.value() * self.level.value(),
             slow_start_factor: self.slow_start_factor(s, now),
         };
         listed.map(view).collect()
@@ -650,7 +639,7 @@
     /// The state behind the decisions in one line, for a log.
     pub fn summary(&self) -> String {
         let serving = || self.serving.members().iter().map(|&i| &self.servers[i]);
-        let limits = serving().map(|s| s.limit);
+        let limits = serving().map(|s| s.limit.value());
         let suspects = self.outliers.ejected().len();
         let (least, sum) = limits.fold((f64::INFINITY, 0.0), |(least, sum), l| (least.min(l), sum + l));
         format!(
@@ -659,7 +648,7 @@
             serving().count(),
             self.flights.len(),
             self.held.len(),
-            self.level,
+            self.level.value(),
             self.latencies.median(),
             self.latencies.all_usual(),
             self.latencies.all_current(),
