--- a/src/lib.rs
+++ b/src/lib.rs
@@ -23,6 +23,7 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: RequestId(1), .. })));
 //! ```
 mod action;
+mod admission;
 mod concurrency;
 mod decaying_sum;
 mod due_times;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -5,6 +5,9 @@
 //! `outcome` learns from the answer and decides what follows, `end` gives the one final answer. `tick` looks
 //! after silent servers, held requests and the list.
 
+use crate::admission::{
+    has_queue_capacity, is_too_late, is_too_late_to_queue, retry_after, Assessment, TimeLimits,
+};
 use crate::concurrency::{self, LimitSample, MAX_LIMIT};
 use crate::latency::{ServerLatency, LATE, RESPONSE_GAIN};
 use crate::outliers::{decode_gossip, overdue_after, OutlierReason};
@@ -45,16 +48,6 @@
 /// How often the balancer looks around when it holds requests, and when it does not.
 const TICK_BUSY: Span = Span(10_000);
 const TICK_IDLE: Span = Span(50_000);
-/// A held request must have this multiple of its class's present answer time left, or this share of its aim.
-const WAIT_MARGIN: f64 = 2.0;
-const WAIT_MOST: f64 = 0.7;
-/// A tenant is over its share at this multiple of its fraction; usage wobbles without anyone flooding.
-const SHARE_SLACK: f64 = 1.4;
-/// Nothing is held back while more than this share of what clients can have open is open: with all of it
-/// held, a request that could be served at once would not even be heard.
-const HOLD_SHARE: f64 = 0.75;
-/// Longest local queue, in requests.
-const HELD_MOST: usize = 500;
 /// Pause before the list is asked for again, doubled on each failure up to what the site asks. All balancers
 /// ask one service, which is kept busy by calls that it then gives up: a round takes them this much for each.
 const ASK_AGAIN: Span = Span(200_000);
@@ -71,9 +64,6 @@
 const ASK_PRICE: f64 = 0.01;
 const ASK_WAIT: f64 = 0.05;
 
-/// No time that a clock shows.
-const NEVER: Time = Time(u64::MAX / 2);
-
 const TICK: TimerId = TimerId(0);
 const ASKED: TimerId = TimerId(1);
 
@@ -184,24 +174,16 @@
 
     fn arrive(&mut self, now: Time, request: Request, out: &mut Vec<Action>) {
         let id = request.id;
-        let Some(&Class { latency_objective, deadline: longest, .. }) =
-            self.settings.classes.get(request.class.0)
-        else {
+        if request.class.0 >= self.settings.classes.len() {
             out.push(Action::Reject { request: id, retry_after: None });
             return;
-        };
+        }
         if self.live.contains_key(&id) {
             return;
         }
-        // First tries of a class wait alike; another wait is what earlier tries have left of the deadline.
-        let alike = self.waits_alike(&request);
-        let spent = if alike { Span::ZERO } else { longest.saturating_sub(request.time_left) };
-        let deadline = now + request.time_left;
-        let wanted_by = (now + latency_objective.saturating_sub(spent)).min(deadline);
-        self.count(now, &request);
-        let over_share = self.over_share(&request);
-        let history = AttemptHistory::default();
-        let live = Live { request, deadline, wanted_by, history, over_share };
+        let Assessment { limits, is_over_share } =
+            self.admission.assess(now, &request, &self.settings, &mut self.rng);
+        let live = Live { request, limits, is_over_share, history: AttemptHistory::default() };
         let hopeless = self.hopeless(now, &live);
         self.live.insert(id, live);
         self.outliers.record_request();
@@ -214,50 +196,16 @@
         }
     }
 
-    /// Of a tenant that takes more than its fraction of this balancer's traffic, the excess is over share.
-    /// No balancer sees the whole; its own traffic is the sample that it has.
-    fn over_share(&mut self, request: &Request) -> bool {
-        let Some(tenant) = request.tenant.filter(|t| t.0 < self.settings.tenants.len()) else { return false };
-        let all: f64 = self.tenant_asked.iter().sum();
-        let fair = SHARE_SLACK * self.settings.tenants[tenant.0].fraction * all;
-        self.settings.over_quota_weight < 1.0 && self.rng.f64() * self.tenant_asked[tenant.0] > fair.max(1.0)
-    }
-
-    /// Classes to be refused last. Refusing a set of classes costs their worth and, once, the part of the
-    /// goal that hangs on the worst class; the set that frees most work for its cost gives way.
-    fn rank_classes(&mut self) {
-        let classes = &self.settings.classes;
-        let work = |c: usize| self.asked[c] * self.latencies.usual_ms(c);
-        let priority_weight = |c: usize| {
-            classes[c].priority_weight * if self.settings.weight_by_work { work(c) } else { self.asked[c] }
-        };
-        let mut order: Vec<usize> = (0..classes.len()).filter(|&c| work(c) > 0.0).collect();
-        order.sort_by(|&a, &b| (priority_weight(a) / work(a)).total_cmp(&(priority_weight(b) / work(b))));
-        let total: f64 = order.iter().map(|&c| priority_weight(c)).sum();
-        let goal = &self.settings.goal;
-        let (mut lost, mut freed, mut least, mut giving) = (goal.worst_class * total, 0.0, f64::INFINITY, 0);
-        for (i, &c) in order.iter().enumerate() {
-            lost += (goal.whole + goal.worst_window) * priority_weight(c);
-            freed += work(c);
-            if lost / freed < least {
-                (least, giving) = (lost / freed, i + 1);
-            }
-        }
-        self.spared = vec![false; classes.len()];
-        order[giving..].iter().for_each(|&c| self.spared[c] = true);
-    }
-
     /// Sent now, it would not be answered while that is worth something; or there is nowhere to send it.
     fn hopeless(&self, now: Time, live: &Live) -> bool {
-        let c = &self.settings.classes[live.request.class.0];
-        let soon = c.latency_objective * (0.7 * self.latencies.usual(live.request.class.0));
-        self.shut || now + soon >= if c.late_weight > 0.0 { live.deadline } else { live.wanted_by }
+        let class = live.request.class.0;
+        let usual_latency = self.latencies.usual(class);
+        self.shut || is_too_late(now, &self.settings.classes[class], &live.limits, usual_latency)
     }
 
     /// Keeps a request for later, or ends it if that is hopeless.
     fn hold(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
-        let most = self.settings.max_concurrent_requests.map_or(f64::INFINITY, |n| HOLD_SHARE * f64::from(n));
-        if self.held.len() >= HELD_MOST || self.live.len() as f64 > most {
+        if !has_queue_capacity(&self.settings, self.held.len(), self.live.len()) {
             self.end(now, id, out);
             return;
         }
@@ -271,7 +219,7 @@
     /// What may still be done with a request.
     pub(crate) fn permitted_actions(&self, live: &Live, now: Time) -> PermittedActions {
         let class = &self.settings.classes[live.request.class.0];
-        live.history.permitted_actions(now, live.deadline, class, &self.settings)
+        live.history.permitted_actions(now, live.limits.deadline, class, &self.settings)
     }
 
     /// Whether an attempt whose first byte can be sent only now may still begin. While its connection was established,
@@ -328,7 +276,7 @@
         candidates.dedup();
         let live = &self.live[&id];
         let until = (now + self.settings.classes[live.request.class.0].latency_objective * ASK_WAIT)
-            .min(live.deadline);
+            .min(live.limits.deadline);
         for &c in &candidates {
             out.push(Action::HealthCheck { server: self.servers[c].listed.server });
         }
@@ -521,9 +469,9 @@
         let Some(live) = self.live.get_mut(&pick.id) else { return };
         if live.request.uploading {
             // The client is timed by the caller while it sends.
-            (live.deadline, live.wanted_by) = (NEVER, NEVER);
+            live.limits = TimeLimits::NONE;
         }
-        let timeout_at = live.deadline;
+        let timeout_at = live.limits.deadline;
         let kept = self.kept(&self.servers[server], now);
         self.note_send(now, pick, server, kept);
         let (request, server) = (pick.id, self.servers[server].listed.server);
@@ -557,11 +505,8 @@
             live.history.record_end(key.1, outcome.is_not_executed());
             if live.request.uploading {
                 // Its body waits with the client for the next attempt.
-                live.begin(
-                    now,
-                    live.request.time_left,
-                    self.settings.classes[live.request.class.0].latency_objective,
-                );
+                let latency_objective = self.settings.classes[live.request.class.0].latency_objective;
+                live.limits = TimeLimits::from_now(now, live.request.time_left, latency_objective);
             }
             self.follow_up(now, id, outcome, out);
         }
@@ -603,10 +548,7 @@
     fn end(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(live) = self.live.remove(&id) else { return };
         if self.permitted_actions(&live, now).reject {
-            let advice = self.settings.classes[live.request.class.0]
-                .latency_objective
-                .min(self.settings.max_retry_after);
-            let retry_after = self.settings.retry_after.then_some(advice);
+            let retry_after = retry_after(&self.settings, &self.settings.classes[live.request.class.0]);
             out.push(Action::Reject { request: id, retry_after });
         } else {
             out.push(Action::Fail { request: id });
@@ -621,14 +563,14 @@
         }
         let mut held = std::mem::take(&mut self.held);
         held.sort_by_cached_key(|id| {
-            self.live.get(id).map(|l| (l.over_share, !self.spared[l.request.class.0]))
+            self.live.get(id).map(|l| (l.is_over_share, !self.admission.is_protected(l.request.class.0)))
         });
         held.retain(|&id| {
             let Some(live) = self.live.get(&id) else { return false };
             let class = live.request.class.0;
-            let margin = (WAIT_MARGIN * self.latencies.current(class)).min(WAIT_MOST);
-            if self.hopeless(now, live)
-                || now + self.settings.classes[class].latency_objective * margin >= live.wanted_by
+            let settings = &self.settings.classes[class];
+            let current_latency = self.latencies.current(class);
+            if self.hopeless(now, live) || is_too_late_to_queue(now, settings, &live.limits, current_latency)
             {
                 self.end(now, id, out);
                 return false;
@@ -928,7 +870,7 @@
         }
         self.update_median_latency();
         self.settle(now);
-        self.rank_classes();
+        self.admission.rank_classes(&self.settings, &self.latencies);
         self.find_silent(now, out);
         self.check_zones(now, out);
         self.pump(now, out);
--- a/src/records.rs
+++ b/src/records.rs
@@ -1,5 +1,6 @@
 //! What the decisions keep of requests, attempts and servers: records only, nothing is decided here.
 
+use crate::admission::{Admission, TimeLimits};
 use crate::concurrency::{AdmissionLevel, ServerLimit};
 use crate::due_times::DueTimes;
 use crate::latency::{Latencies, ServerLatency};
@@ -14,8 +15,6 @@
 
 /// Keys remembered; past that all are forgotten, which costs each of them one cold run.
 const KEYS_MOST: usize = 10_000;
-/// Traffic is counted over about this many milliseconds.
-const COUNT_MS: f64 = 3000.0;
 /// Slots of servers that have left that are freed at a time at most.
 const FREED_MOST: usize = 100;
 
@@ -48,20 +47,10 @@
 /// The one record of an accepted request; it goes when the request has its final answer.
 pub(crate) struct Live {
     pub(crate) request: Request,
-    pub(crate) deadline: Time,
-    /// After this an answer is worth nothing more, or less.
-    pub(crate) wanted_by: Time,
+    pub(crate) limits: TimeLimits,
     pub(crate) history: AttemptHistory,
-    /// Its tenant had its share already; worth little if that is so.
-    pub(crate) over_share: bool,
-}
-
-impl Live {
-    /// Its time counts from now.
-    pub(crate) fn begin(&mut self, now: Time, time_left: Span, latency_objective: Span) {
-        self.deadline = now + time_left;
-        self.wanted_by = (now + latency_objective).min(self.deadline);
-    }
+    /// Its tenant has had its share already.
+    pub(crate) is_over_share: bool,
 }
 
 /// An attempt that has not ended; it outlives its request if that ends first.
@@ -161,8 +150,6 @@
     }
 }
 
-/// Votes that a class's usual wait can gather; a new habit of the clients is believed after as many.
-const VOTES_MOST: u32 = 50;
 /// The decisions of one client process about where, when and how often its requests are sent.
 pub struct Balancer {
     pub(crate) settings: Settings,
@@ -207,14 +194,7 @@
     /// The server that each key was last sent to, where servers do known keys for less.
     pub(crate) key_affinity: BTreeMap<KeyId, ServerId>,
     pub(crate) latencies: Latencies,
-    /// The wait that most requests of a class come with, that of a first try, and the votes for it.
-    pub(crate) usual_wait: Vec<(Span, u32)>,
-    /// Traffic of the last seconds by class and by tenant.
-    pub(crate) asked: Vec<f64>,
-    pub(crate) tenant_asked: Vec<f64>,
-    pub(crate) counted_at: Time,
-    /// Classes that are refused last.
-    pub(crate) spared: Vec<bool>,
+    pub(crate) admission: Admission,
     pub(crate) outliers: Outliers,
     pub(crate) level: AdmissionLevel,
     pub(crate) zones: Zones,
@@ -229,7 +209,6 @@
 impl Balancer {
     /// A balancer that has seen nothing yet.
     pub(crate) fn blank(settings: Settings, seed: u64) -> Self {
-        let classes = settings.classes.len();
         let in_cell = |c: &Class| {
             matches!(c.idempotency, Idempotency::Deduplicated { scope: DeduplicationScope::Cell, .. })
         };
@@ -260,11 +239,7 @@
             blind: false,
             key_affinity: BTreeMap::new(),
             latencies: Latencies::new(&settings),
-            usual_wait: vec![(Span::ZERO, 0); classes],
-            asked: vec![0.0; classes],
-            tenant_asked: vec![0.0; settings.tenants.len()],
-            counted_at: Time(0),
-            spared: vec![false; classes],
+            admission: Admission::new(&settings),
             outliers: Outliers::new(&settings),
             level: AdmissionLevel::new(&settings),
             crowd: 0.0,
@@ -279,22 +254,12 @@
 }
 
 impl Balancer {
-    /// Keeps the traffic of the last seconds by class and by tenant.
-    pub(crate) fn count(&mut self, now: Time, request: &Request) {
-        let keep = (-now.since(self.counted_at).as_ms() / COUNT_MS).exp();
-        self.counted_at = now;
-        self.asked.iter_mut().chain(&mut self.tenant_asked).for_each(|n| *n *= keep);
-        self.asked[request.class.0] += 1.0;
-        if let Some(n) = request.tenant.and_then(|t| self.tenant_asked.get_mut(t.0)) {
-            *n += 1.0;
-        }
-    }
-
     /// The last byte of a long body has come: now its time and its server's begin.
     pub(crate) fn uploaded(&mut self, now: Time, id: RequestId, time_left: Span) {
         let Some(live) = self.live.get_mut(&id).filter(|live| live.request.uploading) else { return };
         live.request.uploading = false;
-        live.begin(now, time_left, self.settings.classes[live.request.class.0].latency_objective);
+        let latency_objective = self.settings.classes[live.request.class.0].latency_objective;
+        live.limits = TimeLimits::from_now(now, time_left, latency_objective);
         for (_, flight) in self.flights.range_mut((id, 0)..=(id, u32::MAX)).filter(|(_, f)| f.uploading) {
             (flight.uploading, flight.sent) = (false, now);
             self.servers[flight.server].uploading -= 1;
@@ -566,21 +531,6 @@
         }
     }
 
-    /// Whether a request comes with its class's usual wait; it has a vote in what that is.
-    pub(crate) fn waits_alike(&mut self, request: &Request) -> bool {
-        let event_interval = self.settings.event_interval;
-        let (usual, votes) = &mut self.usual_wait[request.class.0];
-        let near = request.time_left.saturating_sub(*usual) <= event_interval
-            && usual.saturating_sub(request.time_left) <= event_interval;
-        let alike = near || *votes == 0;
-        match *votes {
-            0 => (*usual, *votes) = (request.time_left, 1),
-            _ if alike => *votes = (*votes + 1).min(VOTES_MOST),
-            _ => *votes -= 1,
-        }
-        alike
-    }
-
     /// A guess at a request's work: the hint, else the usual answer time of its class.
     pub(crate) fn work(&self, live: &Live) -> f64 {
         live.request.cost_hint.map_or_else(|| self.latencies.usual_ms(live.request.class.0), Span::as_ms)
--- a/src/time.rs
+++ b/src/time.rs
@@ -11,6 +11,8 @@
 pub struct Span(pub u64);
 
 impl Time {
+    /// Later than any moment that a clock shows.
+    pub(crate) const NEVER: Time = Time(u64::MAX / 2);
     /// The moment `ms` milliseconds after the epoch; a negative value or NaN counts as the epoch.
     pub fn from_ms(ms: f64) -> Self {
         Time(Span::from_ms(ms).0)
