--- /dev/null
+++ b/src/endpoints/tests.rs
@@ -0,0 +1,178 @@
+use super::*;
+use crate::Discovery;
+
+impl Endpoints {
+    /// The slots that a server has.
+    pub(crate) fn used_slots(&self) -> impl Iterator<Item = usize> + '_ {
+        let used: BTreeSet<usize> = self.slots.values().copied().collect();
+        used.into_iter()
+    }
+
+    /// Asserts that what is kept by increments is what a walk over all servers finds.
+    pub(crate) fn assert_consistent(&self) {
+        let used: BTreeSet<usize> = self.used_slots().collect();
+        assert_eq!(used.len(), self.slots.len(), "two names share a slot");
+        let is_own_slot = |(id, slot): (&ServerId, &usize)| self.servers[*slot].endpoint.server == *id;
+        assert!(self.slots.iter().all(is_own_slot), "a slot is another server's");
+        let free: BTreeSet<usize> = self.free_slots.iter().copied().collect();
+        assert_eq!(free.len(), self.free_slots.len(), "a slot is free twice");
+        let all = free.len() + used.len();
+        assert!(free.is_disjoint(&used) && all == self.servers.len(), "slots are lost");
+
+        let endpoint = |slot: usize| &self.servers[slot].endpoint;
+        let find = |is_one: &dyn Fn(usize) -> bool| {
+            used.iter().copied().filter(|&slot| is_one(slot)).collect::<Vec<_>>()
+        };
+        let is_open = |slot: usize| self.is_open(endpoint(slot));
+        let expected = |slot: usize| used.contains(&slot) && is_open(slot);
+        assert!((0..self.servers.len()).all(|slot| self.servers[slot].is_open == expected(slot)), "open");
+        assert_eq!(sorted(self.open()), find(&is_open), "open");
+        let is_held_back = |slot: usize| endpoint(slot).status == Status::Serving && !is_open(slot);
+        assert_eq!(sorted(self.held_back.members()), find(&is_held_back), "held back");
+        let zones: BTreeSet<ZoneId> = self.servers.iter().map(|server| server.endpoint.zone).collect();
+        for zone in zones {
+            let is_there = |slot: usize| endpoint(slot).zone == zone;
+            let open = find(&|slot| is_open(slot) && is_there(slot));
+            assert_eq!(sorted(self.open_by_zone.members(zone)), open, "open in {zone:?}");
+            assert_eq!(sorted(self.in_zone(zone)), find(&is_there), "all of {zone:?}");
+        }
+        let cells: BTreeSet<CellId> = self.servers.iter().map(|server| server.endpoint.cell).collect();
+        for cell in cells.into_iter().filter(|_| self.has_cell_scope) {
+            let open = find(&|slot| is_open(slot) && endpoint(slot).cell == cell);
+            assert_eq!(sorted(self.open_by_cell.members(cell)), open, "{cell:?}");
+        }
+        let is_in_region = |slot: usize| is_open(slot) && self.is_other_zone_of_region(endpoint(slot).zone);
+        assert_eq!(sorted(self.open_in_region.members()), find(&is_in_region), "region");
+        let is_removed = |slot: usize| endpoint(slot).status == Status::Gone;
+        let removed: Vec<usize> = self.removed.due(Time(u64::MAX)).collect();
+        assert_eq!(sorted(&removed), find(&is_removed), "removed");
+        let has_held_back = !find(&is_held_back).is_empty();
+        assert_eq!(self.is_all_held_back, self.open().is_empty() && has_held_back, "all held back");
+        assert!(self.max_open >= self.open().len(), "the most open servers");
+    }
+}
+
+fn sorted(slots: &[usize]) -> Vec<usize> {
+    let mut slots = slots.to_vec();
+    slots.sort_unstable();
+    slots
+}
+
+const NOW: Time = Time(60_000_000);
+
+fn update(endpoints: &mut Endpoints, now: Time, entries: Vec<Endpoint>, complete: bool) {
+    for slot in endpoints.update(now, entries, complete) {
+        endpoints.reindex(slot);
+        endpoints.schedule_removal(now, slot);
+    }
+    endpoints.update_totals();
+    endpoints.assert_consistent();
+}
+
+fn three_servers() -> Endpoints {
+    let mut endpoints = Endpoints::new(&Settings { balancers: 2, ..Settings::default() });
+    let entries = (0..3).map(|i| Endpoint { zone: ZoneId(i), ..Endpoint::serving(ServerId(i)) });
+    update(&mut endpoints, NOW, entries.collect(), true);
+    endpoints
+}
+
+#[test]
+fn a_complete_list_removes_what_it_does_not_name_and_a_change_does_not() {
+    let mut endpoints = three_servers();
+    update(&mut endpoints, NOW, vec![Endpoint::serving(ServerId(7))], false);
+    assert_eq!(endpoints.open().len(), 4);
+    update(&mut endpoints, NOW, vec![Endpoint::serving(ServerId(7))], true);
+    assert_eq!((endpoints.open().len(), endpoints.listed().count()), (1, 1));
+}
+
+#[test]
+fn a_cordon_outlives_any_endpoint_list() {
+    let mut endpoints = three_servers();
+    assert!(endpoints.cordon(ServerId(1)) && !endpoints.cordon(ServerId(1)));
+    endpoints.reindex(1);
+    update(&mut endpoints, NOW, vec![], true);
+    update(&mut endpoints, NOW, vec![Endpoint::serving(ServerId(1))], true);
+    assert!(endpoints.open().is_empty() && endpoints.is_all_held_back());
+    assert!(endpoints.uncordon(ServerId(1)));
+    endpoints.reindex(1);
+    endpoints.update_totals();
+    assert!(!endpoints.is_all_held_back());
+}
+
+#[test]
+fn an_evacuated_zone_is_closed_to_servers_that_are_listed_later_too() {
+    let mut endpoints = three_servers();
+    endpoints.evacuate(ZoneId(5));
+    update(&mut endpoints, NOW, vec![Endpoint { zone: ZoneId(5), ..Endpoint::serving(ServerId(7)) }], false);
+    assert_eq!(endpoints.open().len(), 3);
+}
+
+#[test]
+fn traffic_is_sparse_while_there_never_were_as_many_servers_as_balancers() {
+    let mut endpoints = Endpoints::new(&Settings { balancers: 2, ..Settings::default() });
+    update(&mut endpoints, NOW, vec![Endpoint::serving(ServerId(0))], true);
+    assert!(endpoints.is_sparse());
+    update(&mut endpoints, NOW, vec![Endpoint::serving(ServerId(1))], false);
+    assert!(!endpoints.is_sparse());
+    update(&mut endpoints, NOW, vec![], true);
+    assert!(!endpoints.is_sparse(), "a fleet that shrinks makes no traffic sparse");
+}
+
+#[test]
+fn a_removed_server_keeps_its_slot_for_a_while_and_longer_if_it_is_in_use() {
+    let mut endpoints = three_servers();
+    update(&mut endpoints, NOW, vec![], true);
+    let later = NOW + endpoints.slot_retention;
+    endpoints.free_slots(NOW, |_| false);
+    assert_eq!(endpoints.free_slot_count(), 0);
+    endpoints.free_slots(later, |slot| slot == 2);
+    assert_eq!(endpoints.free_slot_count(), 2);
+    assert_eq!(endpoints.slot(ServerId(2)), Some(2));
+    endpoints.free_slots(later + endpoints.slot_retention, |_| false);
+    assert_eq!(endpoints.free_slot_count(), 3);
+}
+
+#[test]
+fn draws_are_from_the_own_zone_the_own_region_or_what_a_retry_is_limited_to() {
+    let mut endpoints = three_servers();
+    let changed = endpoints.set_regions([(ZoneId(0), 1), (ZoneId(1), 1), (ZoneId(2), 2)].into());
+    assert_eq!(changed, [ZoneId(1)]);
+    endpoints.reindex(1);
+    let pool = |pool, scope| endpoints.draw_pool(pool, scope).to_vec();
+    assert_eq!(pool(DrawPool::OwnZone, RetryScope::Anywhere), [0]);
+    assert_eq!(pool(DrawPool::OwnRegion, RetryScope::Anywhere), [1]);
+    assert_eq!(pool(DrawPool::All, RetryScope::Zone(ZoneId(2))), [2]);
+    assert_eq!(pool(DrawPool::All, RetryScope::Anywhere).len(), 3);
+}
+
+fn polled(balancers: u32) -> Polling {
+    Polling::new(&Settings { discovery: Discovery::Polled, balancers, ..Settings::default() })
+}
+
+#[test]
+fn many_balancers_spread_their_first_poll_and_a_few_poll_at_once() {
+    let mut rng = fastrand::Rng::with_seed(1);
+    assert!(polled(5).start(NOW, &mut rng));
+    let mut many = polled(200);
+    assert!(!many.start(NOW, &mut rng));
+    assert!(!many.take_due(NOW) && many.take_due(NOW + Span(5_000_000)));
+    assert!(!many.take_due(NOW + Span(9_000_000)), "a poll is made once");
+}
+
+#[test]
+fn the_backoff_doubles_up_to_what_lets_the_list_be_recovered_in_time_and_a_success_ends_it() {
+    let (mut polling, mut rng) = (polled(5), fastrand::Rng::with_seed(1));
+    let mut longest_wait = |polling: &mut Polling| {
+        polling.record_failure(NOW, &mut rng);
+        (0..200).map(|i| Span(i * 50_000)).find(|wait| polling.take_due(NOW + *wait)).expect("it is due")
+    };
+    assert!(longest_wait(&mut polling) <= Span(300_000));
+    for _ in 0..20 {
+        longest_wait(&mut polling);
+    }
+    let waits: Vec<Span> = (0..50).map(|_| longest_wait(&mut polling)).collect();
+    assert!(waits.iter().all(|wait| *wait <= Span(5_000_000)), "{waits:?}");
+    assert!(waits.iter().any(|wait| *wait > Span(3_000_000)), "{waits:?}");
+    polling.record_success();
+    assert!(longest_wait(&mut polling) <= Span(300_000));
+}
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -9,10 +9,12 @@
     has_queue_capacity, is_too_late, is_too_late_to_queue, retry_after, Assessment, TimeLimits,
 };
 use crate::concurrency::{self, LimitSample, MAX_LIMIT};
-use crate::latency::{ServerLatency, LATE, RESPONSE_GAIN};
+use crate::endpoints::DrawPool;
+use crate::latency::{ServerLatency, LATE};
 use crate::outliers::{decode_gossip, overdue_after, OutlierReason};
 use crate::records::*;
 use crate::retries::{AttemptHistory, PermittedActions, RetryScope};
+use crate::server::Server;
 use crate::snapshot::SnapshotBounds;
 use crate::zones::{ZoneChange, ZoneContext, ZoneOutcome};
 use crate::*;
@@ -48,17 +50,6 @@
 /// How often the balancer looks around when it holds requests, and when it does not.
 const TICK_BUSY: Span = Span(10_000);
 const TICK_IDLE: Span = Span(50_000);
-/// Pause before the list is asked for again, doubled on each failure up to what the site asks. All balancers
-/// ask one service, which is kept busy by calls that it then gives up: a round takes them this much for each.
-const ASK_AGAIN: Span = Span(200_000);
-const ASK_EACH: Span = Span(40_000);
-
-/// The longest pause after a call for the list that failed, at its mean, which is spread over a half to one and a half of
-/// it: with a second for the next call it is over before what discovery has counts as told, 6 s after it could be reached
-/// (the operators' standing page).
-pub(crate) const ASK_MOST: Span = Span((6_000_000 - 1_000_000) * 2 / 3);
-/// The news of a report fades over about this many milliseconds.
-const NEWS_MS: f64 = 2000.0;
 /// Candidates are asked for their load where all probes of a pick cost this much at most, and for this share
 /// of the aim.
 const ASK_PRICE: f64 = 0.01;
@@ -71,31 +62,17 @@
     /// A balancer for these settings; equal seeds and events give equal actions.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let mut blank = Balancer::blank(settings, seed);
-        blank.ask_pause = blank.ask_round();
-        Ok(blank)
+        Ok(Balancer::blank(settings, seed))
     }
 
     /// To be called once, before the first event.
     pub fn start(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.settings.discovery == Discovery::Polled {
-            // Most balancers start at once, at the beginning of a day or after a release that ended them.
-            match self.ask_round() {
-                ASK_AGAIN => out.push(Action::Watch { active: true }),
-                round => self.ask_at = Some(now + round * self.rng.f64()),
-            }
+        if self.polling.start(now, &mut self.rng) {
+            out.push(Action::Watch { active: true });
         }
         self.set_tick(now, TICK_IDLE, out);
     }
 
-    /// The time over which all balancers together spread one call each. Pushed news lie beside the balancer:
-    /// asking for them costs nobody anything, and they count as told from then on.
-    fn ask_round(&self) -> Span {
-        let asked = if self.settings.discovery == Discovery::Pushed { 0 } else { self.settings.balancers };
-        let round = ASK_EACH * f64::from(asked);
-        round.min(self.settings.max_poll_interval * 0.5).max(ASK_AGAIN)
-    }
-
     /// Takes in what has happened by `now` and appends what is to be done about it.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
@@ -115,10 +92,10 @@
                 }
             }
             Event::ResponseAborted { server } => {
-                let Some(&s) = self.index.get(&server) else { return };
-                self.servers[s].health.record_aborted_response();
-                let health = &self.servers[s].health;
-                if self.outliers.has_failed_too_often(health, Some(true), self.blind) {
+                let Some(s) = self.endpoints.slot(server) else { return };
+                self.endpoints.server_mut(s).health.record_aborted_response();
+                let health = &self.endpoints.server(s).health;
+                if self.outliers.has_failed_too_often(health, Some(true), self.endpoints.is_sparse()) {
                     self.handle_outlier(now, s, OutlierReason::Failing, out);
                 }
             }
@@ -130,11 +107,11 @@
             Event::Timer(_) => {}
             Event::Gossip { payload, .. } => self.record_gossip(now, &payload),
             Event::HealthChecked { server, outcome, report, .. } => {
-                let Some(&s) = self.index.get(&server) else { return };
-                let zone = self.servers[s].listed.zone;
+                let Some(s) = self.endpoints.slot(server) else { return };
+                let zone = self.endpoints.server(s).endpoint.zone;
                 self.zones.record_health_check(now, zone, outcome == Outcome::Success);
                 match report {
-                    Some(report) => self.read_report(now, s, &report, RESPONSE_GAIN),
+                    Some(report) => self.record_report(now, s, &report),
                     None if outcome != Outcome::Success => {
                         self.handle_outlier(now, s, OutlierReason::FailsHealthChecks, out)
                     }
@@ -144,25 +121,27 @@
             }
             Event::Endpoints(update) => self.list(now, update, out),
             Event::Regions(regions) => {
-                self.set_regions(regions);
+                for zone in self.endpoints.set_regions(regions) {
+                    self.change_zone(zone, |_| {});
+                }
                 self.reopen(now, out);
             }
             Event::Restore(snapshot) => self.restore_within_bounds(now, snapshot),
             Event::Cordon { server } => self.cordon(now, server, out),
             Event::Uncordon { server, at } => self.uncordon(now, server, at, out),
             Event::EvacuateZone { zone } => {
-                if self.left.insert(zone) {
-                    self.of_zone(zone, |s| {
-                        out.push(Action::CloseIdleConnections { server: s.listed.server })
+                if self.endpoints.evacuate(zone) {
+                    self.change_zone(zone, |s| {
+                        out.push(Action::CloseIdleConnections { server: s.endpoint.server })
                     });
                     self.reopen(now, out);
                 }
             }
             Event::RestoreZone { zone, at } => {
-                if self.left.remove(&zone) {
+                if self.endpoints.restore_zone(zone) {
                     // What was learned stands; but all balancers return in the same moment.
-                    self.of_zone(zone, |s| s.slow_start.restore(at));
-                    let there = self.in_zone.members(zone).to_vec();
+                    self.change_zone(zone, |s| s.slow_start.restore(at));
+                    let there = self.endpoints.in_zone(zone).to_vec();
                     there.into_iter().for_each(|i| self.try_again(i, at));
                     self.reopen(now, out);
                 }
@@ -187,9 +166,9 @@
         let hopeless = self.hopeless(now, &live);
         self.live.insert(id, live);
         self.outliers.record_request();
-        self.retry_budget.earn(self.level.value(), self.blind);
+        self.retry_budget.earn(self.level.value(), self.endpoints.is_sparse());
         // A blind balancer's limits per server bind nothing: by chance it lets in what the level says.
-        if hopeless || (self.blind && self.rng.f64() >= self.level.value()) {
+        if hopeless || (self.endpoints.is_sparse() && self.rng.f64() >= self.level.value()) {
             self.end(now, id, out);
         } else if !self.place(now, id, out) {
             self.hold(now, id, out);
@@ -200,7 +179,8 @@
     fn hopeless(&self, now: Time, live: &Live) -> bool {
         let class = live.request.class.0;
         let usual_latency = self.latencies.usual(class);
-        self.shut || is_too_late(now, &self.settings.classes[class], &live.limits, usual_latency)
+        self.endpoints.is_all_held_back()
+            || is_too_late(now, &self.settings.classes[class], &live.limits, usual_latency)
     }
 
     /// Keeps a request for later, or ends it if that is hopeless.
@@ -228,8 +208,8 @@
         let Some(live) = self.live.get(&request) else { return false };
         let class = &self.settings.classes[live.request.class.0];
         let server = live.history.may_begin(now, attempt, class);
-        let slot = server.and_then(|server| self.index.get(&server));
-        slot.is_some_and(|&slot| self.servers[slot].open)
+        let slot = server.and_then(|server| self.endpoints.slot(server));
+        slot.is_some_and(|slot| self.endpoints.server(slot).is_open)
     }
 
     // ---- the pick -----------------------------------------------------------------------------------
@@ -261,13 +241,12 @@
     /// probes only, say what a server holds, and those of one pick cost next to nothing.
     fn asks(&self) -> bool {
         let s = &self.settings;
-        let telling = s.report_fields.iter().any(|f| matches!(f, ReportField::InFlight | ReportField::Queue));
         let price = s.prices.probe * self.compared() as f64;
         s.probes
             && s.report_source == ReportSource::HealthChecks
-            && telling
+            && self.load_reports.have_requests()
             && price <= ASK_PRICE
-            && self.blind
+            && self.endpoints.is_sparse()
     }
 
     /// Probes the candidates; the pick waits until all have answered, for a small part of the aim at most.
@@ -278,7 +257,7 @@
         let until = (now + self.settings.classes[live.request.class.0].latency_objective * ASK_WAIT)
             .min(live.limits.deadline);
         for &c in &candidates {
-            out.push(Action::HealthCheck { server: self.servers[c].listed.server });
+            out.push(Action::HealthCheck { server: self.endpoints.server(c).endpoint.server });
         }
         out.push(Action::SetTimer { at: until, timer: ASKED });
         self.asking.push(Asking { id, candidates, since: now, until });
@@ -286,15 +265,15 @@
 
     /// Sends the requests whose candidates have told their load, or have been waited for long enough.
     fn choose_asked(&mut self, now: Time, out: &mut Vec<Action>) {
-        let servers = &self.servers;
-        let told = |a: &Asking, c: usize| servers[c].reported_at.is_some_and(|at| at >= a.since);
+        let endpoints = &self.endpoints;
+        let told = |a: &Asking, c: usize| endpoints.server(c).report.is_newer_than(a.since);
         let done = |a: &Asking| now >= a.until || a.candidates.iter().all(|&c| told(a, c));
         let (done, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.asking).into_iter().partition(done);
         self.asking = waiting;
         for mut a in done {
             let Some(live) = self.live.get(&a.id) else { continue };
             let pick = self.pick_for(now, live);
-            let heard = |c: &usize| self.servers[*c].reported_at.is_some_and(|at| at >= a.since);
+            let heard = |c: &usize| self.endpoints.server(*c).report.is_newer_than(a.since);
             let some = a.candidates.iter().any(heard);
             a.candidates.retain(|c| (!some || heard(c)) && self.ready(now, *c, &pick));
             if !self.choose(now, &pick, &a.candidates, out) {
@@ -304,25 +283,26 @@
     }
 
     fn ready(&self, now: Time, i: usize, ask: &Pick) -> bool {
-        self.allowed(now, i, ask) && (self.blind || self.servers[i].health.permits_request(now, ask.safe))
+        self.allowed(now, i, ask)
+            && (self.endpoints.is_sparse() || self.endpoints.server(i).health.permits_request(now, ask.safe))
     }
 
     /// Whether a server may be sent this request now, be it suspect or not.
     pub(crate) fn allowed(&self, now: Time, i: usize, ask: &Pick) -> bool {
-        let s = &self.servers[i];
-        ask.reach.contains(&s.listed) && s.open && self.has_room(now, s, ask.work)
+        let s = self.endpoints.server(i);
+        ask.reach.contains(&s.endpoint) && s.is_open && self.has_room(now, s, ask.work)
     }
 
     /// Room by the learned limit; where that says nothing, only a server that was full is given a rest. A
     /// cold server has room for its share of what warm ones were sent lately, so that the sum of all
     /// balancers cannot push it over while the warm ones are held back.
     fn has_room(&self, now: Time, s: &Server, work: f64) -> bool {
-        if self.blind {
+        if self.endpoints.is_sparse() {
             return s.limit.is_rested(now);
         }
         let slow_start_factor = self.slow_start_factor(s, now);
-        let open_servers = self.serving.members().len();
-        s.limit.has_capacity(now, self.level.value(), slow_start_factor, s.at_work())
+        let open_servers = self.endpoints.open().len();
+        s.limit.has_capacity(now, self.level.value(), slow_start_factor, s.connections.at_work())
             && self.slow_start.has_budget(now, &s.slow_start, slow_start_factor, open_servers, work)
     }
 
@@ -339,16 +319,24 @@
         }
         let draws = self.compared() - self.remembered();
         let mut found: Vec<usize> = Vec::with_capacity(draws + self.memory.len() + 1);
-        let crossing = self.settings.prices.cross_zone > 0.0 || !self.regions.is_empty();
-        let near = if crossing && self.level.value() >= NEAR_LEVEL && !self.blind { NEAR_DRAWS } else { 0 };
-        for (round, draws, looks) in [(0, near, near), (1, near, near), (2, draws, 4 * draws)] {
-            let (most, all) = (found.len() + draws, self.pool(round, ask.reach).len());
+        let crossing = self.settings.prices.cross_zone > 0.0 || self.endpoints.has_regions();
+        let near = if crossing && self.level.value() >= NEAR_LEVEL && !self.endpoints.is_sparse() {
+            NEAR_DRAWS
+        } else {
+            0
+        };
+        for (round, draws, looks) in [
+            (DrawPool::OwnZone, near, near),
+            (DrawPool::OwnRegion, near, near),
+            (DrawPool::All, draws, 4 * draws),
+        ] {
+            let (most, all) = (found.len() + draws, self.endpoints.draw_pool(round, ask.reach).len());
             for _ in 0..looks {
                 if found.len() >= most || all == 0 {
                     break;
                 }
                 let at = self.rng.usize(0..all);
-                let i = self.pool(round, ask.reach)[at];
+                let i = self.endpoints.draw_pool(round, ask.reach)[at];
                 if !ask.tried.contains(&i) && self.ready(now, i, ask) && self.passes(now, i, ask) {
                     found.push(i);
                 }
@@ -360,11 +348,11 @@
             }
         }
         if found.is_empty() {
-            let all = self.pool(2, ask.reach).len();
+            let all = self.endpoints.draw_pool(DrawPool::All, ask.reach).len();
             let first = if all > LOOKS { self.rng.usize(0..all) } else { 0 };
-            let (before, after) = self.pool(2, ask.reach).split_at(first);
-            let none = !self.open_in.groups().any(|zone| self.zones.takes_overflow(zone));
-            let spills = |i: usize| none || self.zones.takes_overflow(self.servers[i].listed.zone);
+            let (before, after) = self.endpoints.draw_pool(DrawPool::All, ask.reach).split_at(first);
+            let none = !self.endpoints.open_by_zone().groups().any(|zone| self.zones.takes_overflow(zone));
+            let spills = |i: usize| none || self.zones.takes_overflow(self.endpoints.server(i).endpoint.zone);
             let ready = |i: &usize| self.ready(now, *i, ask) && spills(*i);
             let open = after.iter().chain(before).take(LOOKS).copied().filter(ready);
             let (again, fresh): (Vec<_>, Vec<_>) = open.partition(|i| ask.tried.contains(i));
@@ -381,14 +369,14 @@
     /// being empty wins the pick, a candidate counts for as many as it wins over.
     /// Of a zone that is not wholly in use, it is one as often as the share says; empty, it wins the pick.
     fn passes(&mut self, now: Time, i: usize, ask: &Pick) -> bool {
-        let share = self.zones.share(self.servers[i].listed.zone, ask.class);
-        let wins = if self.blind { 1 } else { 1 + DRAWS } as f64;
+        let share = self.zones.share(self.endpoints.server(i).endpoint.zone, ask.class);
+        let wins = if self.endpoints.is_sparse() { 1 } else { 1 + DRAWS } as f64;
         if share < 1.0 && self.rng.f64() * (share + (1.0 - share) * wins) >= share {
             return false;
         }
-        let slow_start_factor = self.slow_start_factor(&self.servers[i], now);
+        let slow_start_factor = self.slow_start_factor(self.endpoints.server(i), now);
         let wins = if self.asks() { self.compared() } else { 1 };
-        !self.blind || self.slow_start.passes_draw(slow_start_factor, wins, &mut self.rng)
+        !self.endpoints.is_sparse() || self.slow_start.passes_draw(slow_start_factor, wins, &mut self.rng)
     }
 
     /// The candidate with the least own load: requests in flight, scaled by what the machine costs (how slow
@@ -398,24 +386,29 @@
     /// As the last choice is among the candidates, the choices of all together settle in proportion to that.
     fn lightest(&mut self, now: Time, candidates: &[usize], pick: &Pick) -> Option<usize> {
         let away = (1.0 + 100.0 * AWAY * self.settings.prices.cross_zone).clamp(1.0, AWAY_MOST);
-        let (blind, asks) = (self.blind, self.asks());
+        let (blind, asks) = (self.endpoints.is_sparse(), self.asks());
         let mut best = None;
         for &c in candidates {
             let coin = self.rng.f64();
-            let s = &self.servers[c];
-            let report = s.reported + f64::from(s.sent_since);
+            let s = self.endpoints.server(c);
+            let report = s.report.requests();
             let key = if blind {
                 let told = if asks { report.round() as i64 } else { 0 };
-                (i64::from(s.in_flight), told, (-(1.0 - coin).ln() / self.bears(s, now)).to_bits())
+                (
+                    i64::from(s.connections.in_flight()),
+                    told,
+                    (-(1.0 - coin).ln() / self.bears(s, now)).to_bits(),
+                )
             } else {
-                let far = match s.listed.zone {
+                let far = match s.endpoint.zone {
                     zone if zone == self.settings.zone => 1.0,
-                    zone if self.beyond(zone) => away * BEYOND,
+                    zone if self.endpoints.is_other_region(zone) => away * BEYOND,
                     _ => away,
                 };
                 let known = if pick.warm == Some(c) { WARM } else { 1.0 };
                 // A suspect drawn for its trial goes first: by its own record it would never be tried.
-                let count = if s.health.is_ejected() { 0.0 } else { f64::from(s.in_flight) + 1.0 };
+                let count =
+                    if s.health.is_ejected() { 0.0 } else { f64::from(s.connections.in_flight()) + 1.0 };
                 let load = (count * far * (s.latency.slowdown() * known).powf(0.5 * pick.heavy)).ln();
                 ((load / ALIKE).round() as i64, report.round() as i64, coin.to_bits())
             };
@@ -430,21 +423,20 @@
     /// news fades, and what is not known is as crowded as the rest.
     /// The pace counts in its cube: by the plain one slow machines time out while fast ones idle.
     fn bears(&self, s: &Server, now: Time) -> f64 {
-        let size = if self.settings.weights == Weights::Size { s.listed.weight } else { 1.0 };
+        let size = if self.settings.weights == Weights::Size { s.endpoint.weight } else { 1.0 };
         let size = if size.is_finite() && size > 0.0 { size } else { 1.0 };
-        let news = s.reported_at.map_or(0.0, |at| (-now.since(at).as_ms() / NEWS_MS).exp());
-        let waiting = news * (s.reported + f64::from(s.sent_since)) + (1.0 - news) * self.crowd;
+        let waiting = s.report.expected(now, self.load_reports.mean());
         let doubt = s.health.weight(now);
-        let latency = self.latencies.expected(s.listed.kind, &s.latency);
+        let latency = self.latencies.expected(s.endpoint.kind, &s.latency);
         let prices = &self.settings.prices;
         let kept = if self.kept(s, now) { 100.0 * KEPT * prices.handshake } else { 0.0 };
-        let near = if s.listed.zone == self.settings.zone { 100.0 * NEAR * prices.cross_zone } else { 0.0 };
+        let near = if s.endpoint.zone == self.settings.zone { 100.0 * NEAR * prices.cross_zone } else { 0.0 };
         (1.0 + kept) * (1.0 + near) * doubt * size / (1.0 + waiting) / latency.max(0.01).powi(3)
     }
 
     /// Whether this is a blind balancer that keeps its connections, as fresh ones have a price.
     fn keeps(&self) -> bool {
-        self.blind && self.settings.prices.handshake > 0.0
+        self.endpoints.is_sparse() && self.settings.prices.handshake > 0.0
     }
 
     /// Servers that are remembered, and the most that a pick compares.
@@ -460,9 +452,9 @@
         self.remembered() + DRAWS.max(self.remembered())
     }
 
-    /// Whether an idle connection to a server surely still stands.
+    /// Whether an idle connection to a server is certainly open still.
     fn kept(&self, s: &Server, now: Time) -> bool {
-        s.idle > 0 && now.since(s.idle_at) < self.settings.keepalive * 0.5
+        s.connections.has_idle(now, self.settings.keepalive)
     }
 
     fn send(&mut self, now: Time, pick: &Pick, server: usize, out: &mut Vec<Action>) {
@@ -472,9 +464,9 @@
             live.limits = TimeLimits::NONE;
         }
         let timeout_at = live.limits.deadline;
-        let kept = self.kept(&self.servers[server], now);
+        let kept = self.kept(self.endpoints.server(server), now);
         self.note_send(now, pick, server, kept);
-        let (request, server) = (pick.id, self.servers[server].listed.server);
+        let (request, server) = (pick.id, self.endpoints.server(server).endpoint.server);
         out.push(Action::Send { request, server, timeout_at });
     }
 
@@ -492,7 +484,7 @@
         let (outcome, elapsed, report) = ended;
         self.note_end(now, &flight, outcome);
         if let Some(report) = report {
-            self.read_report(now, flight.server, &report, RESPONSE_GAIN);
+            self.record_report(now, flight.server, &report);
         }
         self.record_zone_outcome(now, &flight, outcome, elapsed, out);
         self.learn(now, &flight, outcome, elapsed, out);
@@ -518,9 +510,13 @@
     /// handshake costs nothing, it keeps only the connections of the remembered server. Where it has a price,
     /// its coin falls to few servers, and the others' connections close when they have idled for long enough.
     fn let_go(&self, server: usize, out: &mut Vec<Action>) {
-        let s = &self.servers[server];
-        if s.in_flight == 0 && self.blind && !self.keeps() && !self.memory.contains(&server) {
-            out.push(Action::CloseIdleConnections { server: s.listed.server });
+        let s = self.endpoints.server(server);
+        if s.connections.in_flight() == 0
+            && self.endpoints.is_sparse()
+            && !self.keeps()
+            && !self.memory.contains(&server)
+        {
+            out.push(Action::CloseIdleConnections { server: s.endpoint.server });
         }
     }
 
@@ -591,7 +587,7 @@
         elapsed: Span,
         out: &mut Vec<Action>,
     ) {
-        let server = &self.servers[flight.server];
+        let server = self.endpoints.server(flight.server);
         let ended = ZoneOutcome {
             class: flight.class,
             outcome,
@@ -603,9 +599,9 @@
         let attempt = server.zone_attempt(flight.sent);
         let mut context = ZoneContext {
             now,
-            is_sparse: self.blind,
+            is_sparse: self.endpoints.is_sparse(),
             latencies: &self.latencies,
-            open_servers: &self.open_in,
+            open_servers: self.endpoints.open_by_zone(),
             rng: &mut self.rng,
         };
         let change = self.zones.record_outcome(&mut context, attempt, ended, out);
@@ -614,12 +610,12 @@
 
     /// Lets the zone of a server learn that an attempt there has had no response for too long.
     fn record_zone_unanswered(&mut self, now: Time, server: usize, sent_at: Time, out: &mut Vec<Action>) {
-        let attempt = self.servers[server].zone_attempt(sent_at);
+        let attempt = self.endpoints.server(server).zone_attempt(sent_at);
         let mut context = ZoneContext {
             now,
-            is_sparse: self.blind,
+            is_sparse: self.endpoints.is_sparse(),
             latencies: &self.latencies,
-            open_servers: &self.open_in,
+            open_servers: self.endpoints.open_by_zone(),
             rng: &mut self.rng,
         };
         if let Some(change) = self.zones.record_unanswered(&mut context, attempt, out) {
@@ -640,14 +636,14 @@
 
     /// What the servers of a zone were suspected of was the zone's.
     fn clear_suspicions(&mut self, now: Time, zone: ZoneId) {
-        self.of_zone(zone, |s| s.health.clear(now));
+        self.change_zone(zone, |s| s.health.clear(now));
     }
 
     /// Cancels what is in flight in a zone that does not respond and may be sent elsewhere. That needs no retry budget,
     /// as no server works on it. Nor do these attempts say anything of the other servers, whose admission level they
     /// must not lower.
     fn cancel_in_zone(&mut self, now: Time, zone: ZoneId, out: &mut Vec<Action>) {
-        let there = |f: &Flight| !f.called && self.servers[f.server].listed.zone == zone;
+        let there = |f: &Flight| !f.called && self.endpoints.server(f.server).endpoint.zone == zone;
         let keys: Vec<_> = self.flights.iter().filter(|(_, f)| there(f)).map(|(key, _)| *key).collect();
         for key in keys {
             self.retry_budget.grant();
@@ -674,16 +670,21 @@
         for zone in self.zones.due_health_checks(now) {
             let Some(server) = self.one_of(zone, |_, _| true) else { continue };
             self.zones.record_health_check_sent(now, zone);
-            out.push(Action::HealthCheck { server: self.servers[server].listed.server });
+            out.push(Action::HealthCheck { server: self.endpoints.server(server).endpoint.server });
         }
     }
 
+    /// Takes in a load report of a server.
+    fn record_report(&mut self, now: Time, slot: usize, report: &Report) {
+        self.load_reports.record(now, &mut self.endpoints.server_mut(slot).report, report);
+    }
+
     // ---- what is learned of servers -----------------------------------------------------------------
 
     /// Takes in what the end of an attempt says of its server: latency, concurrency limit and failures.
     fn learn(&mut self, now: Time, flight: &Flight, outcome: Outcome, elapsed: Span, out: &mut Vec<Action>) {
         let latency_objective = self.settings.classes[flight.class].latency_objective;
-        let is_sparse = self.blind;
+        let is_sparse = self.endpoints.is_sparse();
         let latency = match outcome {
             Outcome::Success => (elapsed.as_ms() / latency_objective.as_ms()).min(LATE),
             // Cancelled does not mean stopped: the work may still be in the server's queue.
@@ -694,10 +695,10 @@
         if latency > 0.0 && !flight.counted && !says_little {
             self.level.record(latency, self.flights.len(), is_sparse);
         }
-        let s = &mut self.servers[flight.server];
+        let s = self.endpoints.server_mut(flight.server);
         let idle_latency = self.latencies.idle(flight.class, &s.latency);
         let responds = now.since(s.health.last_response_at()) < latency_objective;
-        if outcome == Outcome::ConnectFailed && is_sparse && s.at_work() > 0 && responds {
+        if outcome == Outcome::ConnectFailed && is_sparse && s.connections.at_work() > 0 && responds {
             // While it responds on other connections it is full and neither dead nor cut off.
             s.limit.rest(now, latency_objective);
         } else {
@@ -707,7 +708,7 @@
             self.latencies.record_success(flight.class, &mut s.latency, latency);
         }
         if latency > 0.0 {
-            self.latencies.record_latency(s.listed.kind, &mut s.latency, latency);
+            self.latencies.record_latency(s.endpoint.kind, &mut s.latency, latency);
             let sample = LimitSample {
                 now,
                 sent_at: flight.sent,
@@ -718,7 +719,7 @@
                 smoothed_latency: s.latency.smoothed(),
                 idle_latency,
                 usual_latency: self.latencies.usual(flight.class),
-                at_work: s.at_work(),
+                at_work: s.connections.at_work(),
             };
             s.limit.record(&sample, concurrency::min_limit(&self.settings));
         }
@@ -742,12 +743,13 @@
         latency: f64,
         out: &mut Vec<Action>,
     ) {
-        let s = &self.servers[slot];
+        let s = self.endpoints.server(slot);
         let is_slow = self.latencies.is_slow(&s.latency);
-        let is_late = self.blind && latency >= LATE && outcome != Outcome::Rejected;
+        let is_late = self.endpoints.is_sparse() && latency >= LATE && outcome != Outcome::Rejected;
         let is_failure = outcome.is_failure();
         let says_whether = (is_failure || latency > 0.0).then_some(is_failure);
-        let is_failing = self.outliers.has_failed_too_often(&s.health, says_whether, self.blind);
+        let is_failing =
+            self.outliers.has_failed_too_often(&s.health, says_whether, self.endpoints.is_sparse());
         if is_failing || is_slow || is_late {
             let reason = if is_slow { OutlierReason::Slow } else { OutlierReason::Failing };
             self.handle_outlier(now, slot, reason, out);
@@ -756,67 +758,54 @@
 
     /// Ejects an outlier, unless too many servers are ejected already; with sparse traffic suspects it.
     fn handle_outlier(&mut self, now: Time, slot: usize, reason: OutlierReason, out: &mut Vec<Action>) {
-        let s = &mut self.servers[slot];
-        if self.blind {
+        let is_sparse = self.endpoints.is_sparse();
+        let open_servers = self.endpoints.open().len();
+        let s = self.endpoints.server_mut(slot);
+        if is_sparse {
             self.memory.retain(|&m| m != slot);
-            return self.outliers.suspect(now, s.listed.server, &mut s.health, &mut self.rng, out);
+            return self.outliers.suspect(now, s.endpoint.server, &mut s.health, &mut self.rng, out);
         }
-        if !self.outliers.eject(now, &mut s.health, self.serving.members().len()) {
+        if !self.outliers.eject(now, &mut s.health, open_servers) {
             return;
         }
         self.memory.retain(|&m| m != slot);
-        let (id, latency, median) = (s.listed.server, s.latency.smoothed(), self.latencies.median());
+        let (id, latency, median) = (s.endpoint.server, s.latency.smoothed(), self.latencies.median());
         let text = format!("server {} {reason}: pace {latency:.2} of median {median:.2}", id.0);
         out.push(Action::Log { server: Some(id), zone: None, text });
-        self.refile(slot);
+        self.reindex(slot);
     }
 
     /// Takes in a message from another balancer.
     fn record_gossip(&mut self, now: Time, payload: &[u8]) {
-        let server = decode_gossip(payload).and_then(|server| self.index.get(&server));
-        if let Some(&slot) = server {
-            self.servers[slot].health.record_gossip(now);
-            self.memory.retain(|&m| !self.servers[m].health.is_suspected(now));
+        let server = decode_gossip(payload).and_then(|server| self.endpoints.slot(server));
+        if let Some(slot) = server {
+            self.endpoints.server_mut(slot).health.record_gossip(now);
+            self.memory.retain(|&m| !self.endpoints.server(m).health.is_suspected(now));
         }
     }
 
     // ---- the list and the clock ---------------------------------------------------------------------
 
     fn list(&mut self, now: Time, update: EndpointUpdate, out: &mut Vec<Action>) {
-        let part = matches!(update, EndpointUpdate::Partial(_));
-        let (lines, complete) = match update {
-            EndpointUpdate::Failed | EndpointUpdate::Unusable => {
-                let failed = update == EndpointUpdate::Failed;
-                let longer = if failed && self.settings.discovery == Discovery::Pushed { 1.0 } else { 2.0 };
-                let most =
-                    self.settings.max_poll_interval.min(if failed { ASK_MOST } else { Span(u64::MAX) });
-                let jitter = 0.5 + self.rng.f64();
-                self.ask_at = Some(now + self.ask_pause.min(most) * jitter);
-                self.ask_pause = (self.ask_pause * longer).min(most);
-                return;
-            }
-            EndpointUpdate::Partial(lines) | EndpointUpdate::Changes(lines) => (lines, false),
-            EndpointUpdate::Complete(lines) | EndpointUpdate::Saved(lines) => (lines, true),
+        let is_partial = matches!(update, EndpointUpdate::Partial(_));
+        let (entries, complete) = match update {
+            EndpointUpdate::Failed => return self.polling.record_failure(now, &mut self.rng),
+            EndpointUpdate::Unusable => return self.polling.record_unusable(now, &mut self.rng),
+            EndpointUpdate::Partial(entries) | EndpointUpdate::Changes(entries) => (entries, false),
+            EndpointUpdate::Complete(entries) | EndpointUpdate::Saved(entries) => (entries, true),
         };
-        self.ask_pause = if part { self.ask_pause } else { self.ask_round() };
-        self.take_lines(now, lines, complete);
+        if !is_partial {
+            self.polling.record_success();
+        }
+        self.update_endpoints(now, entries, complete);
         self.reopen(now, out);
     }
 
-    /// Whether the list and the operators let a server be sent anything.
-    pub(crate) fn opens(&self, s: &Server) -> bool {
-        let held_back = self.cordoned.contains(&s.listed.server) || self.left.contains(&s.listed.zone);
-        s.listed.status == Status::Serving && !held_back
-    }
-
     /// Follows what the list and the operators let be sent anything, once the servers concerned are filed.
     fn reopen(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.memory.retain(|&m| self.servers[m].open);
-        self.settle(now);
-        let serving = self.serving.members().len();
-        self.shut = serving == 0 && !self.held_back.members().is_empty();
-        self.most = self.most.max(serving);
-        self.blind = self.settings.balancers as usize > self.most;
+        self.memory.retain(|&m| self.endpoints.server(m).is_open);
+        self.apply_due_changes(now);
+        self.endpoints.update_totals();
         self.pump(now, out);
     }
 
@@ -827,9 +816,11 @@
     }
 
     fn cordon(&mut self, now: Time, server: ServerId, out: &mut Vec<Action>) {
-        if self.cordoned.insert(server) {
+        if self.endpoints.cordon(server) {
             out.push(Action::CloseIdleConnections { server });
-            self.index.get(&server).copied().into_iter().for_each(|i| self.refile(i));
+            if let Some(slot) = self.endpoints.slot(server) {
+                self.reindex(slot);
+            }
             self.reopen(now, out);
         }
     }
@@ -837,12 +828,12 @@
     /// A server that is back has been restarted, so what was learned of it says nothing and its connections
     /// are dead; it is cold from when it came back, or from a later start that the list tells.
     fn uncordon(&mut self, now: Time, server: ServerId, at: Time, out: &mut Vec<Action>) {
-        if !self.cordoned.remove(&server) {
+        if !self.endpoints.uncordon(server) {
             return;
         }
-        let Some(&i) = self.index.get(&server) else { return };
-        let s = &mut self.servers[i];
-        s.renew(s.listed.clone(), now);
+        let Some(i) = self.endpoints.slot(server) else { return };
+        let s = self.endpoints.server_mut(i);
+        s.restart(s.endpoint.clone(), now);
         s.slow_start.restore(at);
         self.try_again(i, at);
         out.push(Action::CloseIdleConnections { server });
@@ -851,8 +842,8 @@
 
     /// One that was out of use is to be tried soon, by a few of all balancers.
     fn try_again(&mut self, i: usize, at: Time) {
-        self.slow_start.schedule_first_try(&mut self.servers[i].slow_start, at, &mut self.rng);
-        self.refile(i);
+        self.slow_start.schedule_first_try(&mut self.endpoints.server_mut(i).slow_start, at, &mut self.rng);
+        self.reindex(i);
     }
 
     fn set_tick(&mut self, now: Time, after: Span, out: &mut Vec<Action>) {
@@ -864,12 +855,11 @@
         if now < self.tick_at {
             return;
         }
-        if self.ask_at.is_some_and(|at| now >= at) {
-            self.ask_at = None;
+        if self.polling.take_due(now) {
             out.push(Action::Watch { active: true });
         }
         self.update_median_latency();
-        self.settle(now);
+        self.apply_due_changes(now);
         self.admission.rank_classes(&self.settings, &self.latencies);
         self.find_silent(now, out);
         self.check_zones(now, out);
@@ -882,26 +872,26 @@
     fn find_silent(&mut self, now: Time, out: &mut Vec<Action>) {
         let overdue = |(&key, flight): (&(RequestId, u32), &Flight)| {
             let (server, latency_objective) =
-                (&self.servers[flight.server], self.settings.classes[flight.class].latency_objective);
+                (self.endpoints.server(flight.server), self.settings.classes[flight.class].latency_objective);
             let work = self.live.get(&key.0).map_or(0.0, |live| self.work(live));
             let pace = self
                 .latencies
                 .usual(flight.class)
                 .max(self.latencies.median())
                 .max(work / latency_objective.as_ms());
-            let wait = overdue_after(latency_objective, pace, server.in_flight);
+            let wait = overdue_after(latency_objective, pace, server.connections.in_flight());
             let quiet = server.health.last_response_at() < flight.sent;
             let out = !flight.uploading && !flight.called && now.since(flight.sent) > wait;
             (quiet && out).then_some((key, flight.server, flight.sent))
         };
         let silent: Vec<_> = self.flights.iter().filter_map(overdue).collect();
         // An answer that is late is known to be late before it comes; waiting for it lets a jam grow.
-        let (classes, blind) = (&self.settings.classes, self.blind);
+        let (classes, blind) = (&self.settings.classes, self.endpoints.is_sparse());
         let late = |f: &&mut Flight| {
             blind && !f.counted && !f.uploading && now.since(f.sent) > classes[f.class].latency_objective
         };
         let late = self.flights.values_mut().filter(late).map(|f| f.counted = true).count();
-        (0..late).for_each(|_| self.level.record(LATE, self.flights.len(), self.blind));
+        (0..late).for_each(|_| self.level.record(LATE, self.flights.len(), self.endpoints.is_sparse()));
         for &(key, server, sent) in &silent {
             self.handle_outlier(now, server, OutlierReason::Unresponsive, out);
             self.record_zone_unanswered(now, server, sent, out);
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -1,6 +1,8 @@
 //! What is kept by increments is what a walk over all servers would find, whatever happens in whatever order.
 
-use crate::records::*;
+use crate::endpoints::DrawPool;
+use crate::retries::RetryScope;
+use crate::server::Server;
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -36,53 +38,30 @@
 
 /// Compares all that is kept over the servers with what a walk over them finds.
 fn check(b: &mut Balancer, median: bool) {
-    let used: BTreeSet<usize> = b.index.values().copied().collect();
-    assert_eq!(used.len(), b.index.len(), "two names share a slot");
-    assert!(b.index.iter().all(|(id, &i)| b.servers[i].listed.server == *id), "a slot is another server's");
-    let free: BTreeSet<usize> = b.free.iter().copied().collect();
-    assert_eq!(free.len(), b.free.len(), "a slot is free twice");
-    assert!(free.is_disjoint(&used) && free.len() + used.len() == b.servers.len(), "slots are lost");
-
-    let status = |i: usize| b.servers[i].listed.status;
+    b.endpoints.assert_consistent();
+    let used: BTreeSet<usize> = b.endpoints.used_slots().collect();
+    let server = |slot: usize| b.endpoints.server(slot);
     let those = |so: &dyn Fn(usize) -> bool| used.iter().copied().filter(|&i| so(i)).collect::<Vec<_>>();
-    let open = |i: usize| b.opens(&b.servers[i]);
-    assert!((0..b.servers.len()).all(|i| b.servers[i].open == (used.contains(&i) && open(i))), "open");
-    assert_eq!(sorted(b.serving.members().to_vec()), those(&open), "serving");
-    let held_back = |i: usize| status(i) == Status::Serving && !open(i);
-    assert_eq!(sorted(b.held_back.members().to_vec()), those(&held_back), "held back");
-    for zone in (0..ZONES).map(ZoneId) {
-        let there = |i: usize| b.servers[i].listed.zone == zone;
-        assert_eq!(sorted(b.open_in.members(zone).to_vec()), those(&|i| open(i) && there(i)), "{zone:?}");
-        assert_eq!(sorted(b.in_zone.members(zone).to_vec()), those(&there), "all of {zone:?}");
-    }
-    for cell in (0..CELLS).map(CellId) {
-        let there = |i: usize| open(i) && b.servers[i].listed.cell == cell;
-        assert_eq!(sorted(b.in_cell.members(cell).to_vec()), those(&there), "{cell:?}");
-    }
-    let region = |i: usize| open(i) && b.in_region(b.servers[i].listed.zone);
-    assert_eq!(sorted(b.region.members().to_vec()), those(&region), "region");
-    let ejected = |i: usize| open(i) && b.servers[i].health.is_ejected();
+    let open = |i: usize| server(i).is_open;
+    let ejected = |i: usize| open(i) && server(i).health.is_ejected();
     assert_eq!(b.outliers.ejected().iter().copied().collect::<Vec<_>>(), those(&ejected), "ejected");
-    let warm = |i: usize| open(i) && b.slow_start_factor(&b.servers[i], b.slow_start.checked_at()) >= 1.0;
-    assert_eq!(b.slow_start.warm_count(b.serving.members().len()), those(&warm).len(), "warm");
-    let first_try = |i: usize| open(i) && b.servers[i].slow_start.has_first_try();
+    let warm = |i: usize| open(i) && b.slow_start_factor(server(i), b.slow_start.checked_at()) >= 1.0;
+    assert_eq!(b.slow_start.warm_count(b.endpoints.open().len()), those(&warm).len(), "warm");
+    let first_try = |i: usize| open(i) && server(i).slow_start.has_first_try();
     assert_eq!(sorted(b.slow_start.all_first_tries()), those(&first_try), "first tries");
-    let gone = |i: usize| status(i) == Status::Gone;
-    assert_eq!(sorted(b.gone.due(Time(u64::MAX)).collect()), those(&gone), "gone");
-
-    assert_eq!(b.shut, b.serving.members().is_empty() && !those(&held_back).is_empty(), "shut");
-    assert!(b.most >= b.serving.members().len(), "most");
     assert!(b.memory.iter().all(|&m| open(m)), "a closed server is remembered");
     let mut out: BTreeMap<usize, u32> = BTreeMap::new();
     b.flights.values().for_each(|f| *out.entry(f.server).or_default() += 1);
-    for (i, s) in b.servers.iter().enumerate() {
-        assert_eq!(s.in_flight, out.get(&i).copied().unwrap_or(0), "in flight at slot {i}");
+    for (slot, s) in b.endpoints.servers().iter().enumerate() {
+        let in_flight = out.get(&slot).copied().unwrap_or(0);
+        assert_eq!(s.connections.in_flight(), in_flight, "in flight at slot {slot}");
     }
     assert!(out.keys().all(|i| used.contains(i)), "a slot was freed under an attempt");
 
     if median {
-        let judged = |s: &&Server| s.listed.status == Status::Serving && s.latency.samples() > 0;
-        let mut latencies: Vec<f64> = b.servers.iter().filter(judged).map(|s| s.latency.smoothed()).collect();
+        let judged = |s: &&Server| s.endpoint.status == Status::Serving && s.latency.samples() > 0;
+        let servers = b.endpoints.servers().iter().filter(judged);
+        let mut latencies: Vec<f64> = servers.map(|s| s.latency.smoothed()).collect();
         latencies.sort_by(f64::total_cmp);
         let expected = latencies.get(latencies.len() / 2).map_or(b.latencies.median(), |m| m.max(0.01));
         b.update_median_latency();
@@ -111,7 +90,7 @@
     let mut seen = Seen { reused: false, ejected: false, first_try: false, warming: false, region: false };
     for step in 0..steps {
         now = now + Span(rng.u64(0..40_000)) + Span::from_ms(if rng.u32(0..200) == 0 { 4000.0 } else { 0.0 });
-        let free = b.free.len();
+        let free = b.endpoints.free_slot_count();
         let known = next.max(60) - 60..next.max(60);
         let any = |rng: &mut fastrand::Rng| ServerId(rng.u32(known.clone()));
         let event = match rng.u32(0..100) {
@@ -150,7 +129,7 @@
             }
             21..=23 => Event::Cordon { server: any(&mut rng) },
             24..=27 => Event::Uncordon {
-                server: b.cordoned.first().copied().unwrap_or_else(|| any(&mut rng)),
+                server: b.endpoints.any_cordoned().unwrap_or_else(|| any(&mut rng)),
                 at: now,
             },
             28 => Event::EvacuateZone { zone: ZoneId(rng.u32(0..ZONES)) },
@@ -194,11 +173,11 @@
                 *number += 1;
             }
         }
-        seen.reused |= b.free.len() < free;
+        seen.reused |= b.endpoints.free_slot_count() < free;
         seen.ejected |= !b.outliers.ejected().is_empty();
         seen.first_try |= !b.slow_start.all_first_tries().is_empty();
         seen.warming |= b.slow_start.warming_count() > 0;
-        seen.region |= !b.region.members().is_empty();
+        seen.region |= !b.endpoints.draw_pool(DrawPool::OwnRegion, RetryScope::Anywhere).is_empty();
         check(&mut b, rng.u32(0..6) == 0);
     }
     seen
@@ -239,7 +218,8 @@
         &mut out,
     );
     b.handle(now, Event::Endpoints(EndpointUpdate::Changes(vec![line(7)])), &mut out);
-    let order = |b: &Balancer| (b.serving.members().to_vec(), b.open_in.members(ZoneId(1)).to_vec());
+    let order =
+        |b: &Balancer| (b.endpoints.open().to_vec(), b.endpoints.open_by_zone().members(ZoneId(1)).to_vec());
     let before = order(&b);
     let shuffled: Vec<Endpoint> = lines.iter().rev().cloned().collect();
     b.handle(now, Event::Endpoints(EndpointUpdate::Complete(shuffled)), &mut out);
