--- /dev/null
+++ b/src/balancer.rs
@@ -0,0 +1,490 @@
+//! The balancer: takes in events, keeps the requests' course and wires the parts together.
+//!
+//! In the order of a request's life: `handle_request` takes it in, `dispatch` selects a server for it or else it is
+//! queued, `handle_outcome` lets the parts learn from a response and decides what follows, and `finish` gives the one
+//! final answer. `tick` looks after unresponsive servers, the queue and the endpoint list.
+
+mod servers;
+
+use crate::admission::{
+    has_queue_capacity, is_too_late, is_too_late_to_queue, retry_after, Admission, Assessment, TimeLimits,
+};
+use crate::endpoints::Polling;
+use crate::fleet::{AttemptEnd, Fleet};
+use crate::latency::LATE;
+use crate::outliers::{decode_gossip, overdue_after, OutlierReason};
+use crate::pending::{AttemptKey, InFlightAttempt, Pending, PendingRequest};
+use crate::retries::{AttemptHistory, PermittedActions, RetryBudget, RetryScope};
+use crate::selection::{LoadQueries, LoadQuery, Selection, SelectionRequest};
+use crate::zones::ZoneChange;
+use crate::{
+    Action, AttemptNo, Class, EndpointCounts, EndpointUpdate, Event, Idempotency, Outcome, Report, Request,
+    RequestId, ServerId, ServerView, Settings, SettingsError, Snapshot, Span, Time, TimerId, ZoneId,
+    ZoneView,
+};
+use std::sync::Arc;
+
+/// How often the balancer looks after queue, servers and endpoint list while requests are queued, and while none are.
+const TICK_INTERVAL_QUEUED: Span = Span(10_000);
+const TICK_INTERVAL_IDLE: Span = Span(50_000);
+/// Candidates have this fraction of the latency objective to report their load.
+const LOAD_QUERY_TIMEOUT: f64 = 0.05;
+/// Work weighs a server's slowness by its root, relative to the usual work of its class, within this range.
+const RELATIVE_WORK: (f64, f64) = (1.0, 9.0);
+
+const TICK: TimerId = TimerId(0);
+const LOAD_QUERY: TimerId = TimerId(1);
+
+/// The decisions of one client process about where, when and how often its requests are sent.
+pub struct Balancer {
+    settings: Arc<Settings>,
+    rng: fastrand::Rng,
+    pub(crate) fleet: Fleet,
+    pub(crate) pending: Pending,
+    admission: Admission,
+    retry_budget: RetryBudget,
+    pub(crate) selection: Selection,
+    load_queries: LoadQueries,
+    polling: Polling,
+    next_tick: Time,
+}
+
+impl Balancer {
+    /// A balancer for these settings; equal seeds and events give equal actions.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        settings.check()?;
+        let settings = Arc::new(settings);
+        Ok(Balancer {
+            rng: fastrand::Rng::with_seed(seed),
+            fleet: Fleet::new(Arc::clone(&settings)),
+            pending: Pending::default(),
+            admission: Admission::new(&settings),
+            retry_budget: RetryBudget::new(),
+            selection: Selection::new(Arc::clone(&settings)),
+            load_queries: LoadQueries::default(),
+            polling: Polling::new(&settings),
+            next_tick: Time(0),
+            settings,
+        })
+    }
+
+    /// To be called once, before the first event.
+    pub fn start(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if self.polling.start(now, &mut self.rng) {
+            actions.push(Action::Watch { active: true });
+        }
+        self.set_tick(now, TICK_INTERVAL_IDLE, actions);
+    }
+
+    /// Takes in what has happened by `now` and appends what is to be done about it.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::Request(request) => self.handle_request(now, request, actions),
+            Event::FirstByte { request, attempt } => {
+                if let Some(pending) = self.pending.get_mut(request) {
+                    pending.history.record_first_byte(attempt);
+                }
+            }
+            Event::Outcome { request, attempt, outcome, elapsed, report, closed } => {
+                let key = AttemptKey { request, attempt: attempt.0 };
+                let end = AttemptEnd { now, outcome, elapsed };
+                self.handle_outcome(key, end, report.as_deref(), closed, actions);
+            }
+            Event::BodyComplete { request, time_left } => self.complete_upload(now, request, time_left),
+            Event::BodyConsumed { request } => {
+                if let Some(pending) = self.pending.get_mut(request) {
+                    pending.history.record_body_consumed();
+                }
+            }
+            Event::ResponseAborted { server } => self.handle_aborted_response(now, server, actions),
+            Event::ClientDisconnected { request } => {
+                self.pending.remove(request);
+            }
+            Event::Timer(TICK) => self.tick(now, actions),
+            Event::Timer(LOAD_QUERY) => self.finish_load_queries(now, actions),
+            Event::Timer(_) => {}
+            Event::Gossip { payload, .. } => self.handle_gossip(now, &payload),
+            Event::HealthChecked { server, outcome, report, .. } => {
+                self.handle_health_check(now, server, outcome, report.as_deref(), actions);
+            }
+            Event::Endpoints(update) => self.update_endpoints(now, update, actions),
+            Event::Regions(regions) => self.set_regions(now, regions, actions),
+            Event::Restore(snapshot) => self.fleet.restore(now, snapshot),
+            Event::Cordon { server } => self.cordon(now, server, actions),
+            Event::Uncordon { server, at } => self.uncordon(now, server, at, actions),
+            Event::EvacuateZone { zone } => self.evacuate_zone(now, zone, actions),
+            Event::RestoreZone { zone, at } => self.restore_zone(now, zone, at, actions),
+        }
+    }
+
+    fn class(&self, request: &Request) -> &Class {
+        &self.settings.classes[request.class.0]
+    }
+
+    fn handle_request(&mut self, now: Time, request: Request, actions: &mut Vec<Action>) {
+        let id = request.id;
+        if request.class.0 >= self.settings.classes.len() {
+            actions.push(Action::Reject { request: id, retry_after: None });
+            return;
+        }
+        if self.pending.get(id).is_some() {
+            return;
+        }
+        let Assessment { limits, is_over_share } =
+            self.admission.assess(now, &request, &self.settings, &mut self.rng);
+        let pending = PendingRequest { request, limits, is_over_share, history: AttemptHistory::default() };
+        let is_hopeless = self.is_hopeless(now, &pending);
+        self.pending.insert(pending);
+        let (level, is_sparse) = (self.fleet.level.value(), self.fleet.is_sparse());
+        self.fleet.outliers.record_request();
+        self.retry_budget.earn(level, is_sparse);
+        // With sparse traffic the limits of servers bind nothing: a random part is admitted, by the admission level.
+        if is_hopeless || (is_sparse && self.rng.f64() >= level) {
+            self.finish(now, id, actions);
+        } else {
+            self.dispatch_or_queue(now, id, actions);
+        }
+    }
+
+    /// Whether there is nowhere to send a request, or it would be answered too late to count.
+    fn is_hopeless(&self, now: Time, pending: &PendingRequest) -> bool {
+        let usual_latency = self.fleet.latencies.usual(pending.request.class.0);
+        self.fleet.endpoints.is_all_held_back()
+            || is_too_late(now, self.class(&pending.request), &pending.limits, usual_latency)
+    }
+
+    /// Sends a request, or else queues it as long as the queue has capacity.
+    fn dispatch_or_queue(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
+        if !self.dispatch(now, id, actions) {
+            self.queue(now, id, actions);
+        }
+    }
+
+    fn queue(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
+        if !has_queue_capacity(&self.settings, self.pending.queue_len(), self.pending.len()) {
+            self.finish(now, id, actions);
+            return;
+        }
+        self.pending.enqueue(id);
+        // A tick that is due is never put off: requests queued at each tick would starve it.
+        if self.next_tick > now + TICK_INTERVAL_QUEUED {
+            self.set_tick(now, TICK_INTERVAL_QUEUED, actions);
+        }
+    }
+
+    /// Sends the queued requests that can go, and ends those that can no longer be answered in time.
+    fn dispatch_queued(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if self.pending.queue_len() == 0 {
+            return;
+        }
+        let admission = &self.admission;
+        let mut queue = self
+            .pending
+            .take_queue(|pending| (pending.is_over_share, !admission.is_protected(pending.request.class.0)));
+        queue.retain(|&id| {
+            let Some(pending) = self.pending.get(id) else { return false };
+            let class = self.class(&pending.request);
+            let current_latency = self.fleet.latencies.current(pending.request.class.0);
+            if self.is_hopeless(now, pending)
+                || is_too_late_to_queue(now, class, &pending.limits, current_latency)
+            {
+                self.finish(now, id, actions);
+                return false;
+            }
+            !self.dispatch(now, id, actions)
+        });
+        self.pending.set_queue(queue);
+    }
+
+    /// What may still be done with a request.
+    fn permitted_actions(&self, now: Time, pending: &PendingRequest) -> PermittedActions {
+        let class = self.class(&pending.request);
+        pending.history.permitted_actions(now, pending.limits.deadline, class, &self.settings)
+    }
+
+    /// Whether an attempt whose first byte can be sent only now may still begin. While its connection was established,
+    /// its server may have begun to drain, its request have ended, and the window for retries have closed.
+    pub fn may_begin(&self, now: Time, request: RequestId, attempt: AttemptNo) -> bool {
+        let Some(pending) = self.pending.get(request) else { return false };
+        let server = pending.history.may_begin(now, attempt, self.class(&pending.request));
+        let slot = server.and_then(|server| self.fleet.endpoints.slot(server));
+        slot.is_some_and(|slot| self.fleet.server(slot).is_open)
+    }
+
+    /// Sends a request to the lightest candidate, or asks the candidates for their load first; false without any.
+    fn dispatch(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let Some(pending) = self.pending.get(id) else { return true };
+        let request = self.selection_request(now, pending);
+        if request.scope == RetryScope::Nowhere {
+            return false;
+        }
+        let candidates = self.candidates(now, &request);
+        if self.selection.queries_load(&self.fleet) && !candidates.is_empty() {
+            self.query_load(now, id, candidates, actions);
+            return true;
+        }
+        self.send_to_lightest(now, &request, &candidates, actions)
+    }
+
+    /// What a selection must know of a request.
+    fn selection_request(&self, now: Time, pending: &PendingRequest) -> SelectionRequest {
+        let class = pending.request.class.0;
+        let key = pending.request.key.filter(|_| self.settings.key_affinity);
+        let slot = |server: ServerId| self.fleet.endpoints.slot(server);
+        let work = self.expected_work(&pending.request);
+        let relative_work = work / self.fleet.latencies.usual_ms(class);
+        SelectionRequest {
+            id: pending.request.id,
+            class,
+            scope: self.permitted_actions(now, pending).send,
+            work,
+            slowdown_weight: relative_work.clamp(RELATIVE_WORK.0, RELATIVE_WORK.1).sqrt(),
+            is_idempotent: self.settings.classes[class].idempotency == Idempotency::Idempotent,
+            key,
+            affinity_server: key.and_then(|key| self.selection.affinity_server(key)).and_then(slot),
+            tried: pending.history.servers().filter_map(slot).collect(),
+        }
+    }
+
+    /// The expected work of a request in milliseconds: the client's estimate, else the usual latency of its class.
+    fn expected_work(&self, request: &Request) -> f64 {
+        let usual_ms = || self.fleet.latencies.usual_ms(request.class.0);
+        request.cost_hint.map_or_else(usual_ms, Span::as_ms)
+    }
+
+    /// The servers that a request is selected from: one that is due for a first try or a probation request, else drawn.
+    fn candidates(&mut self, now: Time, request: &SelectionRequest) -> Vec<usize> {
+        if let Some(slot) = self.fleet.due_first_try(now, request) {
+            return vec![slot];
+        }
+        if let Some(slot) = self.fleet.zone_probation(now, request, &mut self.rng) {
+            return vec![slot];
+        }
+        self.selection.candidates(now, &self.fleet, request, &mut self.rng)
+    }
+
+    /// Sends a request to the lightest candidate; false without any.
+    fn send_to_lightest(
+        &mut self,
+        now: Time,
+        request: &SelectionRequest,
+        candidates: &[usize],
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let selected = self.selection.select(now, &self.fleet, candidates, request, &mut self.rng);
+        if let Some(slot) = selected {
+            self.send(now, request, slot, actions);
+        }
+        selected.is_some()
+    }
+
+    fn send(&mut self, now: Time, request: &SelectionRequest, slot: usize, actions: &mut Vec<Action>) {
+        let Some(pending) = self.pending.get_mut(request.id) else { return };
+        let is_uploading = pending.request.uploading;
+        if is_uploading {
+            // The client is timed by the caller while it sends.
+            pending.limits = TimeLimits::NONE;
+        }
+        let endpoint = &self.fleet.server(slot).endpoint;
+        let (server, timeout_at) = (endpoint.server, pending.limits.deadline);
+        let attempt = pending.history.record_send(now, endpoint);
+        let is_probation = self.fleet.record_send(now, slot, request.work, is_uploading);
+        let in_flight = InFlightAttempt {
+            server: slot,
+            class: request.class,
+            sent_at: now,
+            is_probation,
+            is_retry: attempt > 0,
+            is_uploading,
+            is_level_settled: false,
+            is_cancelled: false,
+        };
+        self.pending.start_attempt(AttemptKey { request: request.id, attempt }, in_flight);
+        actions.push(Action::Send { request: request.id, server, timeout_at });
+    }
+
+    /// Asks the candidates for their load; the selection waits for all of them, for a short time at most.
+    fn query_load(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        mut candidates: Vec<usize>,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(pending) = self.pending.get(id) else { return };
+        candidates.sort_unstable();
+        candidates.dedup();
+        let timeout = self.class(&pending.request).latency_objective * LOAD_QUERY_TIMEOUT;
+        let until = (now + timeout).min(pending.limits.deadline);
+        for &slot in &candidates {
+            actions.push(Action::HealthCheck { server: self.fleet.server(slot).endpoint.server });
+        }
+        actions.push(Action::SetTimer { at: until, timer: LOAD_QUERY });
+        self.load_queries.push(LoadQuery { request: id, candidates, asked_at: now, until });
+    }
+
+    /// Sends the requests whose candidates have reported their load, or have been waited for long enough.
+    fn finish_load_queries(&mut self, now: Time, actions: &mut Vec<Action>) {
+        for query in self.load_queries.take_done(now, &self.fleet.endpoints) {
+            let Some(pending) = self.pending.get(query.request) else { continue };
+            let request = self.selection_request(now, pending);
+            let has_report = |slot: usize| query.has_report(&self.fleet.endpoints, slot);
+            let any_has = query.candidates.iter().any(|&slot| has_report(slot));
+            let is_fit =
+                |slot: &usize| (!any_has || has_report(*slot)) && self.fleet.is_ready(now, *slot, &request);
+            let candidates: Vec<usize> = query.candidates.iter().copied().filter(is_fit).collect();
+            if !self.send_to_lightest(now, &request, &candidates, actions) {
+                self.queue(now, query.request, actions);
+            }
+        }
+    }
+
+    fn handle_outcome(
+        &mut self,
+        key: AttemptKey,
+        end: AttemptEnd,
+        report: Option<&Report>,
+        is_closed: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(attempt) = self.pending.end_attempt(key) else { return };
+        self.learn(&attempt, end, report, actions);
+        self.close_idle_connections(attempt.server, actions);
+        if is_closed {
+            self.pending.remove(key.request);
+        } else {
+            self.retry_or_finish(key, end, actions);
+        }
+        self.dispatch_queued(end.now, actions);
+    }
+
+    /// What follows for a request that is still owed an answer after an attempt has failed.
+    fn retry_or_finish(&mut self, key: AttemptKey, end: AttemptEnd, actions: &mut Vec<Action>) {
+        let (now, id, is_not_executed) = (end.now, key.request, end.outcome.is_not_executed());
+        let Some(pending) = self.pending.get_mut(id) else { return };
+        pending.history.record_end(key.attempt, is_not_executed);
+        if pending.request.uploading {
+            // Its body waits at the client for the next attempt.
+            let latency_objective = self.settings.classes[pending.request.class.0].latency_objective;
+            pending.limits = TimeLimits::from_now(now, pending.request.time_left, latency_objective);
+        }
+        let Some(pending) = self.pending.get(id).filter(|pending| !pending.history.is_in_flight()) else {
+            return;
+        };
+        let is_useful = !self.is_hopeless(now, pending);
+        let is_affordable = is_not_executed || self.retry_budget.has_token();
+        let is_permitted = self.permitted_actions(now, pending).send != RetryScope::Nowhere;
+        if !(is_permitted && is_useful && is_affordable) {
+            return self.finish(now, id, actions);
+        }
+        if !is_not_executed {
+            self.retry_budget.spend();
+        }
+        self.dispatch_or_queue(now, id, actions);
+    }
+
+    /// Gives the final answer: a rejection if that is true to the client, else a failure.
+    fn finish(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(pending) = self.pending.remove(id) else { return };
+        actions.push(match self.permitted_actions(now, &pending).reject {
+            true => {
+                let retry_after = retry_after(&self.settings, self.class(&pending.request));
+                Action::Reject { request: id, retry_after }
+            }
+            false => Action::Fail { request: id },
+        });
+    }
+
+    fn complete_upload(&mut self, now: Time, id: RequestId, time_left: Span) {
+        let classes = &self.settings.classes;
+        let latency_objective = |request: &Request| classes[request.class.0].latency_objective;
+        for slot in self.pending.complete_upload(now, id, time_left, latency_objective) {
+            self.fleet.endpoints.server_mut(slot).connections.record_upload_complete();
+        }
+    }
+
+    fn set_tick(&mut self, now: Time, after: Span, actions: &mut Vec<Action>) {
+        self.next_tick = now + after;
+        actions.push(Action::SetTimer { at: self.next_tick, timer: TICK });
+    }
+
+    fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if now < self.next_tick {
+            return;
+        }
+        if self.polling.take_due(now) {
+            actions.push(Action::Watch { active: true });
+        }
+        self.fleet.update_median_latency();
+        self.apply_due_changes(now);
+        self.admission.rank_classes(&self.settings, &self.fleet.latencies);
+        self.handle_unresponsive(now, actions);
+        self.check_zones(now, actions);
+        self.dispatch_queued(now, actions);
+        let is_queue_empty = self.pending.queue_len() == 0;
+        let interval = if is_queue_empty { TICK_INTERVAL_IDLE } else { TICK_INTERVAL_QUEUED };
+        self.set_tick(now, interval, actions);
+    }
+
+    /// Cancels an attempt to retry elsewhere, if that is permitted and useful and the budget allows it; true if it was.
+    /// With `only_idempotent` the class has to allow any number of executions.
+    fn cancel_to_retry(
+        &mut self,
+        now: Time,
+        key: AttemptKey,
+        only_idempotent: bool,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let Some(pending) = self.pending.get(key.request) else { return false };
+        let class = self.class(&pending.request);
+        let is_cancelled = pending.history.may_cancel(key.attempt, class, &self.settings, only_idempotent)
+            && self.retry_budget.has_token()
+            && !self.is_hopeless(now, pending);
+        if let Some(attempt) = self.pending.attempt_mut(key).filter(|_| is_cancelled) {
+            attempt.is_cancelled = true;
+            actions.push(Action::Cancel { request: key.request, attempt: AttemptNo(key.attempt) });
+        }
+        is_cancelled
+    }
+
+    /// What the process that replaces this one should know; of a large fleet the servers that most is known of.
+    pub fn snapshot(&self, now: Time) -> Snapshot {
+        self.fleet.snapshot(now)
+    }
+
+    /// How many servers the endpoint list has, and how many of them are sent nothing or next to nothing for now.
+    pub fn endpoint_counts(&self, now: Time) -> EndpointCounts {
+        self.fleet.endpoint_counts(now)
+    }
+
+    /// Its view of each server that the endpoint list has.
+    pub fn server_views(&self, now: Time) -> Vec<ServerView> {
+        self.fleet.server_views(now)
+    }
+
+    /// How it uses each zone, as a whole, and by class where that differs; zones without a response are left out.
+    pub fn zone_views(&self) -> Vec<ZoneView> {
+        self.fleet.zones.views()
+    }
+
+    /// The state behind the decisions in one line, for a log.
+    pub fn summary(&self) -> String {
+        let fleet = &self.fleet;
+        let open = || fleet.endpoints.open().iter().map(|&slot| fleet.server(slot));
+        let limits = open().map(|server| server.limit.value());
+        let (least, sum) = limits.fold((f64::INFINITY, 0.0), |(least, sum), l| (least.min(l), sum + l));
+        format!(
+            "serving {} suspect {} in flight {} held {} level {:.2} limits {sum:.1} least {least:.2} \
+             median {:.2} pace {:.2?} now {:.2?} retries {:.1}",
+            open().count(),
+            fleet.outliers.ejected().len(),
+            self.pending.in_flight_count(),
+            self.pending.queue_len(),
+            fleet.level.value(),
+            fleet.latencies.median(),
+            fleet.latencies.all_usual(),
+            fleet.latencies.all_current(),
+            self.retry_budget.tokens(),
+        )
+    }
+}
--- /dev/null
+++ b/src/fleet.rs
@@ -0,0 +1,351 @@
+//! What is known of the servers, and whether one may be sent a request now.
+//!
+//! A [`Fleet`] holds the parts that keep state of servers and passes each of them what it needs of the others.
+
+mod views;
+
+use crate::concurrency::{self, AdmissionLevel, LimitSample, MAX_LIMIT};
+use crate::endpoints::Endpoints;
+use crate::latency::{Latencies, ServerLatency, LATE};
+use crate::load_report::LoadReports;
+use crate::outliers::{OutlierReason, Outliers};
+use crate::pending::InFlightAttempt;
+use crate::selection::SelectionRequest;
+use crate::server::Server;
+use crate::slow_start::SlowStart;
+use crate::snapshot::{self, SnapshotBounds};
+use crate::zones::{ZoneChange, ZoneContext, ZoneOutcome, Zones};
+use crate::{
+    Action, Endpoint, EndpointCounts, Outcome, ServerSnapshot, ServerView, Settings, Snapshot, Span, Time,
+    ZoneId,
+};
+use std::sync::Arc;
+
+/// All that is known of the servers.
+pub(crate) struct Fleet {
+    settings: Arc<Settings>,
+    pub(crate) endpoints: Endpoints,
+    pub(crate) latencies: Latencies,
+    pub(crate) level: AdmissionLevel,
+    pub(crate) load_reports: LoadReports,
+    pub(crate) outliers: Outliers,
+    pub(crate) slow_start: SlowStart,
+    pub(crate) zones: Zones,
+}
+
+/// How an attempt ended.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct AttemptEnd {
+    pub(crate) now: Time,
+    pub(crate) outcome: Outcome,
+    pub(crate) elapsed: Span,
+}
+
+impl Fleet {
+    /// Nothing is known.
+    pub(crate) fn new(settings: Arc<Settings>) -> Self {
+        Fleet {
+            endpoints: Endpoints::new(&settings),
+            latencies: Latencies::new(&settings),
+            level: AdmissionLevel::new(&settings),
+            load_reports: LoadReports::new(&settings),
+            outliers: Outliers::new(&settings),
+            slow_start: SlowStart::new(&settings),
+            zones: Zones::new(&settings),
+            settings,
+        }
+    }
+
+    /// The server in a slot.
+    pub(crate) fn server(&self, slot: usize) -> &Server {
+        self.endpoints.server(slot)
+    }
+
+    /// There are more balancers than servers.
+    pub(crate) fn is_sparse(&self) -> bool {
+        self.endpoints.is_sparse()
+    }
+
+    /// The fraction of its capacity that a server has for certain.
+    pub(crate) fn slow_start_factor(&self, now: Time, server: &Server) -> f64 {
+        self.slow_start.factor(&server.slow_start, server.endpoint.started, now)
+    }
+
+    /// Whether a server may be sent this request now, ejected or not.
+    pub(crate) fn is_allowed(&self, now: Time, slot: usize, request: &SelectionRequest) -> bool {
+        let server = self.server(slot);
+        request.scope.contains(&server.endpoint)
+            && server.is_open
+            && self.has_capacity(now, server, request.work)
+    }
+
+    /// Whether a server may be sent this request now.
+    pub(crate) fn is_ready(&self, now: Time, slot: usize, request: &SelectionRequest) -> bool {
+        let permits_request = || self.server(slot).health.permits_request(now, request.is_idempotent);
+        self.is_allowed(now, slot, request) && (self.is_sparse() || permits_request())
+    }
+
+    /// Whether a server has capacity for this work by its limit and by its slow-start budget. With sparse traffic these
+    /// say nothing, and only a server that was full is given a rest.
+    fn has_capacity(&self, now: Time, server: &Server, work: f64) -> bool {
+        if self.is_sparse() {
+            return server.limit.is_rested(now);
+        }
+        let factor = self.slow_start_factor(now, server);
+        let open_servers = self.endpoints.open().len();
+        server.limit.has_capacity(now, self.level.value(), factor, server.connections.at_work())
+            && self.slow_start.has_budget(now, &server.slow_start, factor, open_servers, work)
+    }
+
+    /// A server that this request is to try first after operators have restored it.
+    pub(crate) fn due_first_try(&self, now: Time, request: &SelectionRequest) -> Option<usize> {
+        self.slow_start.due_first_tries(now).find(|slot| self.is_ready(now, *slot, request))
+    }
+
+    /// A server for a probation request of a zone that is due for one.
+    pub(crate) fn zone_probation(
+        &mut self,
+        now: Time,
+        request: &SelectionRequest,
+        rng: &mut fastrand::Rng,
+    ) -> Option<usize> {
+        if !request.tried.is_empty() {
+            return None;
+        }
+        let scope = self.zones.due_probation(now, request.class, request.is_idempotent)?;
+        let slot = self.draw_in_zone(scope.zone, rng, |fleet, slot| fleet.is_allowed(now, slot, request))?;
+        self.zones.record_probation(now, scope);
+        Some(slot)
+    }
+
+    /// A random open server of a zone among those that are fit.
+    pub(crate) fn draw_in_zone(
+        &self,
+        zone: ZoneId,
+        rng: &mut fastrand::Rng,
+        is_fit: impl Fn(&Self, usize) -> bool,
+    ) -> Option<usize> {
+        let open = self.endpoints.open_by_zone().members(zone).iter().copied();
+        let fit: Vec<usize> = open.filter(|slot| is_fit(self, *slot)).collect();
+        fit.get(rng.usize(0..fit.len().max(1))).copied()
+    }
+
+    /// Takes in that a server is sent an attempt with this work; true if it is a probation request.
+    pub(crate) fn record_send(&mut self, now: Time, slot: usize, work: f64, is_uploading: bool) -> bool {
+        let takes_idle = self.server(slot).connections.has_idle(now, self.settings.keepalive);
+        let factor = self.slow_start_factor(now, self.server(slot));
+        let open_servers = self.endpoints.open().len();
+        let server = self.endpoints.server_mut(slot);
+        server.connections.record_send(is_uploading, takes_idle);
+        server.report.record_send();
+        self.slow_start.record_send(now, &mut server.slow_start, factor, open_servers, work);
+        self.slow_start.index(slot, &server.slow_start, server.endpoint.started, server.is_open);
+        server.health.record_send()
+    }
+
+    /// Lets the zone of a server learn from the end of an attempt there.
+    pub(crate) fn record_zone_outcome(
+        &mut self,
+        attempt: &InFlightAttempt,
+        end: AttemptEnd,
+        rng: &mut fastrand::Rng,
+        actions: &mut Vec<Action>,
+    ) -> ZoneChange {
+        let server = self.endpoints.server(attempt.server);
+        let outcome = ZoneOutcome {
+            class: attempt.class,
+            outcome: end.outcome,
+            elapsed: end.elapsed,
+            is_in_time: end.elapsed <= self.settings.classes[attempt.class].latency_objective,
+            usual_ms: self.latencies.usual_ms(attempt.class) * server.latency.slowdown(),
+            is_warming: self.slow_start_factor(end.now, server) < 1.0,
+        };
+        let attempt = server.zone_attempt(attempt.sent_at);
+        let mut context = ZoneContext {
+            now: end.now,
+            is_sparse: self.endpoints.is_sparse(),
+            latencies: &self.latencies,
+            open_servers: self.endpoints.open_by_zone(),
+            rng,
+        };
+        self.zones.record_outcome(&mut context, attempt, outcome, actions)
+    }
+
+    /// Lets the zone of a server learn that an attempt there has had no response for too long.
+    pub(crate) fn record_zone_unanswered(
+        &mut self,
+        now: Time,
+        slot: usize,
+        sent_at: Time,
+        rng: &mut fastrand::Rng,
+        actions: &mut Vec<Action>,
+    ) -> ZoneChange {
+        let attempt = self.server(slot).zone_attempt(sent_at);
+        let mut context = ZoneContext {
+            now,
+            is_sparse: self.endpoints.is_sparse(),
+            latencies: &self.latencies,
+            open_servers: self.endpoints.open_by_zone(),
+            rng,
+        };
+        let change = self.zones.record_unanswered(&mut context, attempt, actions);
+        change.unwrap_or(ZoneChange::None)
+    }
+
+    /// Takes in what the end of an attempt says of its server: latency, concurrency limit and failures. Returns the
+    /// reason if the server is an outlier.
+    pub(crate) fn record_server_outcome(
+        &mut self,
+        attempt: &InFlightAttempt,
+        end: AttemptEnd,
+        in_flight: usize,
+    ) -> Option<OutlierReason> {
+        let AttemptEnd { now, outcome, elapsed } = end;
+        let latency_objective = self.settings.classes[attempt.class].latency_objective;
+        let is_sparse = self.is_sparse();
+        let latency = match outcome {
+            Outcome::Success => (elapsed.as_ms() / latency_objective.as_ms()).min(LATE),
+            // Cancelled does not mean stopped: the work may still be in the server's queue.
+            Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled => LATE,
+            _ => 0.0,
+        };
+        let says_little = is_sparse && outcome == Outcome::Rejected && !attempt.is_retry;
+        if latency > 0.0 && !attempt.is_level_settled && !says_little {
+            self.level.record(latency, in_flight, is_sparse);
+        }
+        let server = self.endpoints.server_mut(attempt.server);
+        let idle_latency = self.latencies.idle(attempt.class, &server.latency);
+        let responds = now.since(server.health.last_response_at()) < latency_objective;
+        let has_requests = server.connections.at_work() > 0;
+        if outcome == Outcome::ConnectFailed && is_sparse && has_requests && responds {
+            // While it responds on other connections it is full and neither dead nor cut off.
+            server.limit.rest(now, latency_objective);
+        } else {
+            server.health.record_outcome(now, outcome, latency < LATE);
+        }
+        if outcome == Outcome::Success {
+            self.latencies.record_success(attempt.class, &mut server.latency, latency);
+        }
+        if latency > 0.0 {
+            self.latencies.record_latency(server.endpoint.kind, &mut server.latency, latency);
+            let sample = LimitSample {
+                now,
+                sent_at: attempt.sent_at,
+                outcome,
+                elapsed,
+                latency_objective,
+                latency,
+                smoothed_latency: server.latency.smoothed(),
+                idle_latency,
+                usual_latency: self.latencies.usual(attempt.class),
+                at_work: server.connections.at_work(),
+            };
+            server.limit.record(&sample, concurrency::min_limit(&self.settings));
+        }
+        if attempt.is_probation {
+            let is_good = outcome == Outcome::Success && self.latencies.is_good_probation(latency);
+            server.health.record_probation(now, is_good);
+            if is_good {
+                server.latency = ServerLatency::after_probation(latency);
+            }
+            return None;
+        }
+        self.detect_outlier(attempt.server, outcome, latency)
+    }
+
+    /// What the end of an attempt makes of its server.
+    fn detect_outlier(&mut self, slot: usize, outcome: Outcome, latency: f64) -> Option<OutlierReason> {
+        let is_sparse = self.is_sparse();
+        let server = self.endpoints.server(slot);
+        let is_slow = self.latencies.is_slow(&server.latency);
+        let is_late = is_sparse && latency >= LATE && outcome != Outcome::Rejected;
+        let is_failure = outcome.is_failure();
+        let says_whether = (is_failure || latency > 0.0).then_some(is_failure);
+        let is_failing = self.outliers.has_failed_too_often(&server.health, says_whether, is_sparse);
+        match (is_slow, is_failing || is_late) {
+            (true, _) => Some(OutlierReason::Slow),
+            (false, true) => Some(OutlierReason::Failing),
+            (false, false) => None,
+        }
+    }
+
+    /// Takes in that a response was aborted after a good beginning; true if its server is an outlier.
+    pub(crate) fn record_aborted_response(&mut self, slot: usize) -> bool {
+        let is_sparse = self.is_sparse();
+        let health = &mut self.endpoints.server_mut(slot).health;
+        health.record_aborted_response();
+        self.outliers.has_failed_too_often(health, Some(true), is_sparse)
+    }
+
+    /// Ejects an outlier, unless too many servers are ejected already; with sparse traffic suspects it. True if one of
+    /// these was done.
+    pub(crate) fn handle_outlier(
+        &mut self,
+        now: Time,
+        slot: usize,
+        reason: OutlierReason,
+        rng: &mut fastrand::Rng,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let is_sparse = self.is_sparse();
+        let open_servers = self.endpoints.open().len();
+        let server = self.endpoints.server_mut(slot);
+        let id = server.endpoint.server;
+        if is_sparse {
+            self.outliers.suspect(now, id, &mut server.health, rng, actions);
+            return true;
+        }
+        if !self.outliers.eject(now, &mut server.health, open_servers) {
+            return false;
+        }
+        let (latency, median) = (server.latency.smoothed(), self.latencies.median());
+        let text = format!("server {} {reason}: pace {latency:.2} of median {median:.2}", id.0);
+        actions.push(Action::Log { server: Some(id), zone: None, text });
+        self.reindex(slot);
+        true
+    }
+
+    /// Ends ejection and suspicion in a zone: what its servers were suspected of was the zone's.
+    pub(crate) fn clear_outliers(&mut self, now: Time, zone: ZoneId) {
+        self.change_zone(zone, |server| server.health.clear(now));
+    }
+
+    /// Takes in entries of the endpoint list.
+    pub(crate) fn update_endpoints(&mut self, now: Time, entries: Vec<Endpoint>, complete: bool) {
+        for slot in self.endpoints.update(now, entries, complete) {
+            self.reindex(slot);
+            self.endpoints.schedule_removal(now, slot);
+        }
+        let endpoints = &self.endpoints;
+        self.zones.retain(|zone| endpoints.has_listed_in(zone));
+    }
+
+    /// Changes each server of a zone.
+    pub(crate) fn change_zone(&mut self, zone: ZoneId, mut change: impl FnMut(&mut Server)) {
+        for slot in self.endpoints.in_zone(zone).to_vec() {
+            change(self.endpoints.server_mut(slot));
+            self.reindex(slot);
+        }
+    }
+
+    /// Lets a few of all balancers try a server soon that operators have restored.
+    pub(crate) fn schedule_first_try(&mut self, slot: usize, at: Time, rng: &mut fastrand::Rng) {
+        self.slow_start.schedule_first_try(&mut self.endpoints.server_mut(slot).slow_start, at, rng);
+        self.reindex(slot);
+    }
+
+    /// Updates all indexes over the servers after a change of one, or of what operators say of it.
+    pub(crate) fn reindex(&mut self, slot: usize) {
+        self.endpoints.reindex(slot);
+        let server = self.endpoints.server(slot);
+        self.slow_start.index(slot, &server.slow_start, server.endpoint.started, server.is_open);
+        self.outliers.index(slot, &server.health, server.is_open);
+        self.latencies.mark_changed(slot);
+    }
+
+    /// Updates the median latency of the servers that serve.
+    pub(crate) fn update_median_latency(&mut self) {
+        let endpoints = &self.endpoints;
+        self.latencies.update_median(|slot| endpoints.server(slot).judged_latency());
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -24,6 +24,7 @@
 //! ```
 mod action;
 mod admission;
+mod balancer;
 mod concurrency;
 mod connections;
 mod decaying_sum;
@@ -31,15 +32,16 @@
 mod endpoint;
 mod endpoints;
 mod event;
+mod fleet;
 mod ids;
 mod latency;
 mod load_report;
-mod logic;
 mod moving_average;
 mod outliers;
-mod records;
+mod pending;
 mod retries;
 mod running_median;
+mod selection;
 mod server;
 mod settings;
 mod slot_sets;
@@ -52,10 +54,10 @@
 mod zones;
 
 pub use action::*;
+pub use balancer::Balancer;
 pub use endpoint::*;
 pub use event::*;
 pub use ids::*;
-pub use records::Balancer;
 pub use settings::*;
 pub use snapshot::{ServerSnapshot, Snapshot};
 pub use time::*;
--- /dev/null
+++ b/src/selection/load_query.rs
@@ -0,0 +1,51 @@
+//! Selections that wait until their candidates have reported their load.
+
+use crate::endpoints::Endpoints;
+use crate::{RequestId, Time};
+
+/// A request whose candidates have been asked for their load.
+#[derive(Debug)]
+pub(crate) struct LoadQuery {
+    pub(crate) request: RequestId,
+    pub(crate) candidates: Vec<usize>,
+    pub(crate) asked_at: Time,
+    /// When the selection is made whatever has been reported.
+    pub(crate) until: Time,
+}
+
+impl LoadQuery {
+    /// Whether a candidate has reported its load since it was asked.
+    pub(crate) fn has_report(&self, endpoints: &Endpoints, slot: usize) -> bool {
+        endpoints.server(slot).report.is_newer_than(self.asked_at)
+    }
+
+    fn is_done(&self, now: Time, endpoints: &Endpoints) -> bool {
+        now >= self.until || self.candidates.iter().all(|&slot| self.has_report(endpoints, slot))
+    }
+}
+
+/// All selections that wait.
+#[derive(Default)]
+pub(crate) struct LoadQueries {
+    queries: Vec<LoadQuery>,
+}
+
+impl LoadQueries {
+    /// Adds a selection whose candidates have been asked.
+    pub(crate) fn push(&mut self, query: LoadQuery) {
+        self.queries.push(query);
+    }
+
+    /// Removes the selections that can be made now.
+    pub(crate) fn take_done(&mut self, now: Time, endpoints: &Endpoints) -> Vec<LoadQuery> {
+        let queries = std::mem::take(&mut self.queries);
+        let (done, waiting) = queries.into_iter().partition(|query| query.is_done(now, endpoints));
+        self.queries = waiting;
+        done
+    }
+
+    /// Whether a server is a candidate of a selection that waits.
+    pub(crate) fn has_candidate(&self, slot: usize) -> bool {
+        self.queries.iter().any(|query| query.candidates.contains(&slot))
+    }
+}
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -38,21 +38,22 @@
 
 /// Compares all that is kept over the servers with what a walk over them finds.
 fn check(b: &mut Balancer, median: bool) {
-    b.endpoints.assert_consistent();
-    let used: BTreeSet<usize> = b.endpoints.used_slots().collect();
-    let server = |slot: usize| b.endpoints.server(slot);
+    b.fleet.endpoints.assert_consistent();
+    let used: BTreeSet<usize> = b.fleet.endpoints.used_slots().collect();
+    let server = |slot: usize| b.fleet.endpoints.server(slot);
     let those = |so: &dyn Fn(usize) -> bool| used.iter().copied().filter(|&i| so(i)).collect::<Vec<_>>();
     let open = |i: usize| server(i).is_open;
     let ejected = |i: usize| open(i) && server(i).health.is_ejected();
-    assert_eq!(b.outliers.ejected().iter().copied().collect::<Vec<_>>(), those(&ejected), "ejected");
-    let warm = |i: usize| open(i) && b.slow_start_factor(server(i), b.slow_start.checked_at()) >= 1.0;
-    assert_eq!(b.slow_start.warm_count(b.endpoints.open().len()), those(&warm).len(), "warm");
+    assert_eq!(b.fleet.outliers.ejected().iter().copied().collect::<Vec<_>>(), those(&ejected), "ejected");
+    let warm =
+        |i: usize| open(i) && b.fleet.slow_start_factor(b.fleet.slow_start.checked_at(), server(i)) >= 1.0;
+    assert_eq!(b.fleet.slow_start.warm_count(b.fleet.endpoints.open().len()), those(&warm).len(), "warm");
     let first_try = |i: usize| open(i) && server(i).slow_start.has_first_try();
-    assert_eq!(sorted(b.slow_start.all_first_tries()), those(&first_try), "first tries");
-    assert!(b.memory.iter().all(|&m| open(m)), "a closed server is remembered");
+    assert_eq!(sorted(b.fleet.slow_start.all_first_tries()), those(&first_try), "first tries");
+    assert!(b.selection.remembered().iter().all(|&m| open(m)), "a closed server is remembered");
     let mut out: BTreeMap<usize, u32> = BTreeMap::new();
-    b.flights.values().for_each(|f| *out.entry(f.server).or_default() += 1);
-    for (slot, s) in b.endpoints.servers().iter().enumerate() {
+    b.pending.attempts().for_each(|(_, attempt)| *out.entry(attempt.server).or_default() += 1);
+    for (slot, s) in b.fleet.endpoints.servers().iter().enumerate() {
         let in_flight = out.get(&slot).copied().unwrap_or(0);
         assert_eq!(s.connections.in_flight(), in_flight, "in flight at slot {slot}");
     }
@@ -60,12 +61,12 @@
 
     if median {
         let judged = |s: &&Server| s.endpoint.status == Status::Serving && s.latency.samples() > 0;
-        let servers = b.endpoints.servers().iter().filter(judged);
+        let servers = b.fleet.endpoints.servers().iter().filter(judged);
         let mut latencies: Vec<f64> = servers.map(|s| s.latency.smoothed()).collect();
         latencies.sort_by(f64::total_cmp);
-        let expected = latencies.get(latencies.len() / 2).map_or(b.latencies.median(), |m| m.max(0.01));
-        b.update_median_latency();
-        assert_eq!(b.latencies.median(), expected, "median of {latencies:?}");
+        let expected = latencies.get(latencies.len() / 2).map_or(b.fleet.latencies.median(), |m| m.max(0.01));
+        b.fleet.update_median_latency();
+        assert_eq!(b.fleet.latencies.median(), expected, "median of {latencies:?}");
     }
 }
 
@@ -90,7 +91,7 @@
     let mut seen = Seen { reused: false, ejected: false, first_try: false, warming: false, region: false };
     for step in 0..steps {
         now = now + Span(rng.u64(0..40_000)) + Span::from_ms(if rng.u32(0..200) == 0 { 4000.0 } else { 0.0 });
-        let free = b.endpoints.free_slot_count();
+        let free = b.fleet.endpoints.free_slot_count();
         let known = next.max(60) - 60..next.max(60);
         let any = |rng: &mut fastrand::Rng| ServerId(rng.u32(known.clone()));
         let event = match rng.u32(0..100) {
@@ -129,7 +130,7 @@
             }
             21..=23 => Event::Cordon { server: any(&mut rng) },
             24..=27 => Event::Uncordon {
-                server: b.endpoints.any_cordoned().unwrap_or_else(|| any(&mut rng)),
+                server: b.fleet.endpoints.any_cordoned().unwrap_or_else(|| any(&mut rng)),
                 at: now,
             },
             28 => Event::EvacuateZone { zone: ZoneId(rng.u32(0..ZONES)) },
@@ -173,11 +174,11 @@
                 *number += 1;
             }
         }
-        seen.reused |= b.endpoints.free_slot_count() < free;
-        seen.ejected |= !b.outliers.ejected().is_empty();
-        seen.first_try |= !b.slow_start.all_first_tries().is_empty();
-        seen.warming |= b.slow_start.warming_count() > 0;
-        seen.region |= !b.endpoints.draw_pool(DrawPool::OwnRegion, RetryScope::Anywhere).is_empty();
+        seen.reused |= b.fleet.endpoints.free_slot_count() < free;
+        seen.ejected |= !b.fleet.outliers.ejected().is_empty();
+        seen.first_try |= !b.fleet.slow_start.all_first_tries().is_empty();
+        seen.warming |= b.fleet.slow_start.warming_count() > 0;
+        seen.region |= !b.fleet.endpoints.draw_pool(DrawPool::OwnRegion, RetryScope::Anywhere).is_empty();
         check(&mut b, rng.u32(0..6) == 0);
     }
     seen
@@ -218,8 +219,9 @@
         &mut out,
     );
     b.handle(now, Event::Endpoints(EndpointUpdate::Changes(vec![line(7)])), &mut out);
-    let order =
-        |b: &Balancer| (b.endpoints.open().to_vec(), b.endpoints.open_by_zone().members(ZoneId(1)).to_vec());
+    let order = |b: &Balancer| {
+        (b.fleet.endpoints.open().to_vec(), b.fleet.endpoints.open_by_zone().members(ZoneId(1)).to_vec())
+    };
     let before = order(&b);
     let shuffled: Vec<Endpoint> = lines.iter().rev().cloned().collect();
     b.handle(now, Event::Endpoints(EndpointUpdate::Complete(shuffled)), &mut out);
