--- /dev/null
+++ b/src/balancer/dispatch.rs
@@ -0,0 +1,143 @@
+//! From a request to its server: selection, load queries and the attempt that is sent.
+
+use super::{Balancer, LOAD_QUERY};
+use crate::admission::TimeLimits;
+use crate::pending::{AttemptKey, InFlightAttempt, PendingRequest};
+use crate::retries::RetryScope;
+use crate::selection::{LoadQuery, SelectionRequest};
+use crate::{Action, Idempotency, Request, RequestId, ServerId, Span, Time};
+
+/// Candidates have this fraction of the latency objective to report their load.
+const LOAD_QUERY_TIMEOUT: f64 = 0.05;
+/// Work weighs a server's slowness by its root, relative to the usual work of its class, within this range.
+const RELATIVE_WORK: (f64, f64) = (1.0, 9.0);
+
+impl Balancer {
+    /// Sends a request to the lightest candidate, or asks the candidates for their load first; false without any.
+    pub(super) fn dispatch(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let Some(pending) = self.pending.get(id) else { return true };
+        let request = self.selection_request(now, pending);
+        if request.scope == RetryScope::Nowhere {
+            return false;
+        }
+        let candidates = self.candidates(now, &request);
+        if self.selection.queries_load(&self.fleet) && !candidates.is_empty() {
+            self.query_load(now, id, candidates, actions);
+            return true;
+        }
+        self.send_to_lightest(now, &request, &candidates, actions)
+    }
+
+    /// What a selection must know of a request.
+    fn selection_request(&self, now: Time, pending: &PendingRequest) -> SelectionRequest {
+        let class = pending.request.class.0;
+        let key = pending.request.key.filter(|_| self.settings.key_affinity);
+        let slot = |server: ServerId| self.fleet.endpoints.slot(server);
+        let work = self.expected_work(&pending.request);
+        let relative_work = work / self.fleet.latencies.usual_ms(class);
+        SelectionRequest {
+            id: pending.request.id,
+            class,
+            scope: self.permitted_actions(now, pending).send,
+            work,
+            slowdown_weight: relative_work.clamp(RELATIVE_WORK.0, RELATIVE_WORK.1).sqrt(),
+            is_idempotent: self.settings.classes[class].idempotency == Idempotency::Idempotent,
+            key,
+            affinity_server: key.and_then(|key| self.selection.affinity_server(key)).and_then(slot),
+            tried: pending.history.servers().filter_map(slot).collect(),
+        }
+    }
+
+    /// The expected work of a request in milliseconds: the client's estimate, else the usual latency of its class.
+    pub(super) fn expected_work(&self, request: &Request) -> f64 {
+        let usual_ms = || self.fleet.latencies.usual_ms(request.class.0);
+        request.cost_hint.map_or_else(usual_ms, Span::as_ms)
+    }
+
+    /// The servers that a request is selected from: one that is due for a first try or a probation request, else drawn.
+    fn candidates(&mut self, now: Time, request: &SelectionRequest) -> Vec<usize> {
+        if let Some(slot) = self.fleet.due_first_try(now, request) {
+            return vec![slot];
+        }
+        if let Some(slot) = self.fleet.zone_probation(now, request, &mut self.rng) {
+            return vec![slot];
+        }
+        self.selection.candidates(now, &self.fleet, request, &mut self.rng)
+    }
+
+    /// Sends a request to the lightest candidate; false without any.
+    fn send_to_lightest(
+        &mut self,
+        now: Time,
+        request: &SelectionRequest,
+        candidates: &[usize],
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let selected = self.selection.select(now, &self.fleet, candidates, request, &mut self.rng);
+        if let Some(slot) = selected {
+            self.send(now, request, slot, actions);
+        }
+        selected.is_some()
+    }
+
+    fn send(&mut self, now: Time, request: &SelectionRequest, slot: usize, actions: &mut Vec<Action>) {
+        let Some(pending) = self.pending.get_mut(request.id) else { return };
+        let is_uploading = pending.request.uploading;
+        if is_uploading {
+            // The client is timed by the caller while it sends.
+            pending.limits = TimeLimits::NONE;
+        }
+        let endpoint = &self.fleet.server(slot).endpoint;
+        let (server, timeout_at) = (endpoint.server, pending.limits.deadline);
+        let attempt = pending.history.record_send(now, endpoint);
+        let is_probation = self.fleet.record_send(now, slot, request.work, is_uploading);
+        let in_flight = InFlightAttempt {
+            server: slot,
+            class: request.class,
+            sent_at: now,
+            is_probation,
+            is_retry: attempt > 0,
+            is_uploading,
+            is_level_settled: false,
+            is_cancelled: false,
+        };
+        self.pending.start_attempt(AttemptKey { request: request.id, attempt }, in_flight);
+        actions.push(Action::Send { request: request.id, server, timeout_at });
+    }
+
+    /// Asks the candidates for their load; the selection waits for all of them, for a short time at most.
+    fn query_load(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        mut candidates: Vec<usize>,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(pending) = self.pending.get(id) else { return };
+        candidates.sort_unstable();
+        candidates.dedup();
+        let timeout = self.class(&pending.request).latency_objective * LOAD_QUERY_TIMEOUT;
+        let until = (now + timeout).min(pending.limits.deadline);
+        for &slot in &candidates {
+            actions.push(Action::HealthCheck { server: self.fleet.server(slot).endpoint.server });
+        }
+        actions.push(Action::SetTimer { at: until, timer: LOAD_QUERY });
+        self.load_queries.push(LoadQuery { request: id, candidates, asked_at: now, until });
+    }
+
+    /// Sends the requests whose candidates have reported their load, or have been waited for long enough.
+    pub(super) fn finish_load_queries(&mut self, now: Time, actions: &mut Vec<Action>) {
+        for query in self.load_queries.take_done(now, &self.fleet.endpoints) {
+            let Some(pending) = self.pending.get(query.request) else { continue };
+            let request = self.selection_request(now, pending);
+            let has_report = |slot: usize| query.has_report(&self.fleet.endpoints, slot);
+            let any_has = query.candidates.iter().any(|&slot| has_report(slot));
+            let is_fit =
+                |slot: &usize| (!any_has || has_report(*slot)) && self.fleet.is_ready(now, *slot, &request);
+            let candidates: Vec<usize> = query.candidates.iter().copied().filter(is_fit).collect();
+            if !self.send_to_lightest(now, &request, &candidates, actions) {
+                self.queue(now, query.request, actions);
+            }
+        }
+    }
+}
--- a/src/balancer/servers.rs
+++ b/src/balancer/servers.rs
@@ -1,6 +1,12 @@
 //! What the balancer does about its servers: learning from attempts, outliers, zones, and changes of the endpoint list.
 
-use super::*;
+use super::Balancer;
+use crate::fleet::AttemptEnd;
+use crate::latency::LATE;
+use crate::outliers::{decode_gossip, overdue_after, OutlierReason};
+use crate::pending::{AttemptKey, InFlightAttempt};
+use crate::zones::ZoneChange;
+use crate::{Action, EndpointUpdate, Outcome, Report, ServerId, Time, ZoneId};
 use std::collections::BTreeMap;
 
 impl Balancer {
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -4,7 +4,7 @@
 
 mod views;
 
-use crate::concurrency::{self, AdmissionLevel, LimitSample, MAX_LIMIT};
+use crate::concurrency::{self, AdmissionLevel, LimitSample};
 use crate::endpoints::Endpoints;
 use crate::latency::{Latencies, ServerLatency, LATE};
 use crate::load_report::LoadReports;
@@ -13,12 +13,8 @@
 use crate::selection::SelectionRequest;
 use crate::server::Server;
 use crate::slow_start::SlowStart;
-use crate::snapshot::{self, SnapshotBounds};
 use crate::zones::{ZoneChange, ZoneContext, ZoneOutcome, Zones};
-use crate::{
-    Action, Endpoint, EndpointCounts, Outcome, ServerSnapshot, ServerView, Settings, Snapshot, Span, Time,
-    ZoneId,
-};
+use crate::{Action, Endpoint, Outcome, Settings, Span, Time, ZoneId};
 use std::sync::Arc;
 
 /// All that is known of the servers.
@@ -203,12 +199,7 @@
         let AttemptEnd { now, outcome, elapsed } = end;
         let latency_objective = self.settings.classes[attempt.class].latency_objective;
         let is_sparse = self.is_sparse();
-        let latency = match outcome {
-            Outcome::Success => (elapsed.as_ms() / latency_objective.as_ms()).min(LATE),
-            // Cancelled does not mean stopped: the work may still be in the server's queue.
-            Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled => LATE,
-            _ => 0.0,
-        };
+        let latency = latency_fraction(outcome, elapsed, latency_objective);
         let says_little = is_sparse && outcome == Outcome::Rejected && !attempt.is_retry;
         if latency > 0.0 && !attempt.is_level_settled && !says_little {
             self.level.record(latency, in_flight, is_sparse);
@@ -243,16 +234,22 @@
             server.limit.record(&sample, concurrency::min_limit(&self.settings));
         }
         if attempt.is_probation {
-            let is_good = outcome == Outcome::Success && self.latencies.is_good_probation(latency);
-            server.health.record_probation(now, is_good);
-            if is_good {
-                server.latency = ServerLatency::after_probation(latency);
-            }
+            self.end_probation(now, attempt.server, outcome, latency);
             return None;
         }
         self.detect_outlier(attempt.server, outcome, latency)
     }
 
+    /// Takes in how a probation request ended.
+    fn end_probation(&mut self, now: Time, slot: usize, outcome: Outcome, latency: f64) {
+        let server = self.endpoints.server_mut(slot);
+        let is_good = outcome == Outcome::Success && self.latencies.is_good_probation(latency);
+        server.health.record_probation(now, is_good);
+        if is_good {
+            server.latency = ServerLatency::after_probation(latency);
+        }
+    }
+
     /// What the end of an attempt makes of its server.
     fn detect_outlier(&mut self, slot: usize, outcome: Outcome, latency: f64) -> Option<OutlierReason> {
         let is_sparse = self.is_sparse();
@@ -349,3 +346,13 @@
         self.latencies.update_median(|slot| endpoints.server(slot).judged_latency());
     }
 }
+
+/// The latency that an outcome shows, as a fraction of the latency objective; zero if it shows none.
+fn latency_fraction(outcome: Outcome, elapsed: Span, latency_objective: Span) -> f64 {
+    match outcome {
+        Outcome::Success => (elapsed.as_ms() / latency_objective.as_ms()).min(LATE),
+        // Cancelled does not mean stopped: the work may still be in the server's queue.
+        Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled => LATE,
+        _ => 0.0,
+    }
+}
--- a/src/fleet/views.rs
+++ b/src/fleet/views.rs
@@ -1,6 +1,11 @@
 //! What a fleet shows of itself: to operators, and to the next process.
 
-use super::*;
+use super::Fleet;
+use crate::concurrency::{self, MAX_LIMIT};
+use crate::latency::{ServerLatency, LATE};
+use crate::server::Server;
+use crate::snapshot::{self, SnapshotBounds};
+use crate::{EndpointCounts, ServerSnapshot, ServerView, Snapshot, Time};
 
 impl Fleet {
     /// What the process that replaces this one should know; of a large fleet the servers that most is known of.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! Client-side load-balancing decisions, without I/O.
 //!
-//! Each client process owns one [`Balancer`]. It is told what happens ([`Event`]) and when ([`Time`]), and
-//! answers with what to do ([`Action`]); it never reads a clock, opens a socket or starts a thread. Per request
+//! Each client process owns one [`Balancer`]. It is notified of what happens ([`Event`]) and when ([`Time`]), and
+//! responds with what to do ([`Action`]); it never reads a clock, opens a socket or starts a thread. Per request
 //! it compares the lightest server it remembers with fresh uniform draws, by its own requests in flight.
 //!
 //! ```
@@ -12,12 +12,12 @@
 //! let mut balancer = Balancer::new(settings, 7).expect("usable settings");
 //! let mut actions = Vec::new();
 //!
-//! // The agent hears which servers there are ...
+//! // The host passes on the endpoint list ...
 //! let now = Time::from_ms(1000.0);
 //! let servers = vec![Endpoint::serving(ServerId(0)), Endpoint::serving(ServerId(1))];
 //! balancer.handle(now, Event::Endpoints(EndpointUpdate::Complete(servers)), &mut actions);
 //!
-//! // ... and passes on a request: the balancer says where to send it.
+//! // ... and a request: the balancer decides where to send it.
 //! let request = Request::new(RequestId(1), ClassId(0), Span::from_ms(400.0));
 //! balancer.handle(now, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: RequestId(1), .. })));
