--- a/src/connections.rs
+++ b/src/connections.rs
@@ -62,3 +62,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/decaying_sum.rs
+++ b/src/decaying_sum.rs
@@ -21,3 +21,6 @@
         *self = DecayingSum { sum: self.value(now) + term, time_constant_ms, updated_at: now };
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/due_times.rs
+++ b/src/due_times.rs
@@ -42,3 +42,6 @@
         self.ordered.len()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/load_report.rs
+++ b/src/load_report.rs
@@ -76,3 +76,6 @@
         confidence * self.requests() + (1.0 - confidence) * mean
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/load_report/tests.rs
@@ -0,0 +1,41 @@
+use super::*;
+use crate::Span;
+
+const NOW: Time = Time(60_000_000);
+
+fn reports(fields: Vec<ReportField>) -> LoadReports {
+    LoadReports::new(&Settings { report_fields: fields, ..Settings::default() })
+}
+
+#[test]
+fn requests_in_flight_are_read_before_the_queue() {
+    let mut reports = reports(vec![ReportField::Queue, ReportField::Other, ReportField::InFlight]);
+    let mut load = ReportedLoad::default();
+    reports.record(NOW, &mut load, &[9.0, 8.0, 3.0]);
+    assert_eq!(load.requests(), 3.0);
+    load.record_send();
+    assert_eq!(load.requests(), 4.0, "own requests since the report count too");
+}
+
+#[test]
+fn a_report_without_a_plausible_number_is_ignored() {
+    let mut reports = reports(vec![ReportField::InFlight]);
+    for report in [&[][..], &[f64::NAN], &[f64::INFINITY]] {
+        let mut load = ReportedLoad::default();
+        reports.record(NOW, &mut load, report);
+        assert!(!load.is_newer_than(Time(0)), "{report:?}");
+    }
+    let mut load = ReportedLoad::default();
+    reports.record(NOW, &mut load, &[-5.0]);
+    assert_eq!(load.requests(), 0.0);
+}
+
+#[test]
+fn an_old_report_gives_way_to_the_mean_of_all() {
+    let mut reports = reports(vec![ReportField::InFlight]);
+    let mut load = ReportedLoad::default();
+    reports.record(NOW, &mut load, &[10.0]);
+    assert_eq!(load.expected(NOW, 2.0), 10.0);
+    assert!((load.expected(NOW + Span::from_ms(60_000.0), 2.0) - 2.0).abs() < 1e-9);
+    assert_eq!(ReportedLoad::default().expected(NOW, 2.0), 2.0);
+}
--- a/src/moving_average.rs
+++ b/src/moving_average.rs
@@ -6,3 +6,6 @@
     let gain = if value < *average { gain } else { gain / 4.0 };
     *average += gain * (value - *average);
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/running_median.rs
+++ b/src/running_median.rs
@@ -58,3 +58,6 @@
 fn flip_negative(bits: i64) -> i64 {
     bits ^ (((bits >> 63) as u64) >> 1) as i64
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/slot_sets.rs
+++ b/src/slot_sets.rs
@@ -91,3 +91,6 @@
         &self.members
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -126,3 +126,6 @@
 fn is_positive(value: f64) -> bool {
     value.is_finite() && value > 0.0
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/snapshot/tests.rs
@@ -0,0 +1,76 @@
+use super::*;
+
+const BOUNDS: SnapshotBounds = SnapshotBounds { min_limit: 0.1, max_limit: 100.0, max_latency: 1.0 };
+const IMPLAUSIBLE: [f64; 4] = [f64::NAN, f64::INFINITY, 0.0, -1.0];
+
+fn server() -> ServerSnapshot {
+    ServerSnapshot {
+        server: ServerId(1),
+        started: None,
+        limit: 4.0,
+        cut: true,
+        stretch: 1.5,
+        pace: 0.3,
+        samples: 9,
+        cold_sent: 2.0,
+        suspect: false,
+    }
+}
+
+#[test]
+fn a_plausible_server_is_restored_as_it_was() {
+    assert_eq!(server().bounded(&BOUNDS), Some(server()));
+}
+
+#[test]
+fn what_lies_beyond_the_bounds_is_restored_within_them() {
+    let extreme = ServerSnapshot { limit: 1e9, stretch: 1e9, pace: 1e9, ..server() };
+    let bounded = extreme.bounded(&BOUNDS).expect("usable");
+    assert_eq!((bounded.limit, bounded.stretch, bounded.pace), (100.0, 8.0, 1.0));
+    let low = ServerSnapshot { limit: 1e-9, stretch: 1e-9, pace: -1.0, ..server() };
+    let bounded = low.bounded(&BOUNDS).expect("usable");
+    assert_eq!((bounded.limit, bounded.stretch, bounded.pace), (0.1, 0.05, 0.0));
+}
+
+#[test]
+fn implausible_numbers_are_left_out_one_by_one() {
+    for value in IMPLAUSIBLE {
+        assert_eq!(ServerSnapshot { limit: value, ..server() }.bounded(&BOUNDS), None);
+        assert_eq!(ServerSnapshot { stretch: value, ..server() }.bounded(&BOUNDS), None);
+        assert_eq!(ServerSnapshot { cold_sent: value, ..server() }.usable_cold_sent(), None);
+        let snapshot = Snapshot {
+            level: value,
+            median: value,
+            class_pace: vec![0.2, value],
+            warm_sent: value,
+            servers: Vec::new(),
+        };
+        assert_eq!(snapshot.usable_level(0.1), None);
+        assert_eq!(snapshot.usable_median(1.0), None);
+        assert_eq!(snapshot.usable_class_latencies(2, 1.0), None);
+        assert_eq!(snapshot.usable_warm_sent(), None);
+    }
+    assert_eq!(ServerSnapshot { pace: f64::NAN, ..server() }.bounded(&BOUNDS), None);
+}
+
+#[test]
+fn class_latencies_are_used_only_for_the_same_number_of_classes() {
+    let snapshot = Snapshot { class_pace: vec![0.2, 3.0], ..Snapshot::default() };
+    assert_eq!(snapshot.usable_class_latencies(2, 1.0), Some(vec![0.2, 1.0]));
+    assert_eq!(snapshot.usable_class_latencies(3, 1.0), None);
+}
+
+#[test]
+fn of_a_large_fleet_ejected_and_measured_servers_are_kept() {
+    let count = 3 * MAX_SNAPSHOT_SERVERS;
+    let mut servers: Vec<usize> = (0..count).collect();
+    select_servers(&mut servers, |server| ServerRelevance {
+        is_ejected: *server == 7,
+        is_measured: *server >= count / 2,
+        last_response_at: Time(*server as u64),
+    });
+    assert_eq!(servers.len(), MAX_SNAPSHOT_SERVERS);
+    assert!(servers.contains(&7), "the ejected one");
+    let latest = count - (MAX_SNAPSHOT_SERVERS - 1);
+    assert!(servers.iter().all(|server| *server == 7 || *server >= latest), "and the latest measured ones");
+}
