--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -14,23 +14,23 @@
 /// Requests sent to each of four servers, the first of which reports what is given.
 fn share(report: Vec<f64>) -> [u32; 4] {
     let mut rig = Rig::new(settings(), 3);
-    rig.list(fleet(4, 1, 1));
+    rig.set_endpoints(fleet(4, 1, 1));
     let mut sent = [0; 4];
     for _ in 0..200 {
-        let (id, server) = rig.ask(0);
+        let (id, server) = rig.request(0);
         let server = server.expect("an idle fleet takes it");
         sent[server.0 as usize] += 1;
         rig.wait(Span::from_ms(20.0));
         let said = if server.0 == 0 { report.clone() } else { vec![0.0] };
-        rig.answer_with(id, 0, Outcome::Success, 20.0, Some(said));
+        rig.respond_with(id, 0, Outcome::Success, 20.0, Some(said));
         rig.wait(Span::from_ms(10.0));
     }
-    rig.assert_rules();
+    rig.assert_invariants();
     sent
 }
 
 #[test]
-fn reports_that_cannot_be_true_neither_stop_nor_starve_anything() {
+fn implausible_reports_neither_stop_nor_starve_anything() {
     for said in [vec![], vec![f64::NAN], vec![f64::INFINITY], vec![0.0], vec![-1e300], vec![1e300, 1.0]] {
         let sent = share(said.clone());
         assert!(sent[1..].iter().all(|n| *n > 20), "{said:?}: {sent:?}");
@@ -42,22 +42,22 @@
 #[test]
 fn a_clock_that_jumps_an_hour_leaves_the_fleet_in_use_and_no_request_unanswered() {
     let mut rig = Rig::new(settings(), 3);
-    rig.list(fleet(4, 1, 1));
-    let open: Vec<_> = (0..6).map(|_| rig.ask(0).0).collect();
+    rig.set_endpoints(fleet(4, 1, 1));
+    let open: Vec<_> = (0..6).map(|_| rig.request(0).0).collect();
     rig.now = rig.now + Span::from_ms(3_600_000.0);
     for id in open {
-        rig.answer(id, 0, Outcome::TimedOut, 800.0);
+        rig.respond(id, 0, Outcome::TimedOut, 800.0);
     }
     rig.wait(Span::from_ms(1000.0));
     let served = (0..40).filter(|_| {
-        let (id, server) = rig.ask(0);
+        let (id, server) = rig.request(0);
         rig.wait(Span::from_ms(20.0));
         if server.is_some() {
-            rig.answer(id, 0, Outcome::Success, 20.0);
+            rig.respond(id, 0, Outcome::Success, 20.0);
         }
         rig.wait(Span::from_ms(200.0));
         server.is_some()
     });
     assert!(served.count() > 30);
-    assert_eq!(rig.observer.lost(rig.now), 0);
+    assert_eq!(rig.checker.overdue_answers(rig.now), 0);
 }
--- a/tests/cold_server_not_pushed_over.rs
+++ b/tests/cold_server_not_pushed_over.rs
@@ -21,7 +21,7 @@
     let mut out: Vec<(Time, RequestId, u32)> = Vec::new();
     let end = rig.now + Span::from_ms(ms);
     while rig.now < end {
-        let (id, sent) = rig.ask(0);
+        let (id, sent) = rig.request(0);
         if let Some(sent) = sent {
             all += 1;
             there += u32::from(sent == server);
@@ -32,11 +32,11 @@
         let due: Vec<_> = out.iter().filter(|o| o.0 <= now).copied().collect();
         out.retain(|o| o.0 > now);
         for (_, id, attempt) in due {
-            rig.answer(id, attempt, Outcome::Success, 20.0);
+            rig.respond(id, attempt, Outcome::Success, 20.0);
         }
     }
     for (_, id, attempt) in out {
-        rig.answer(id, attempt, Outcome::Success, 20.0);
+        rig.respond(id, attempt, Outcome::Success, 20.0);
     }
     (there, all)
 }
@@ -46,7 +46,7 @@
     let mut rig = Rig::new(settings(), 4);
     let mut lines = fleet(6, 1, 1);
     lines[5].started = Some(rig.now);
-    rig.list(lines);
+    rig.set_endpoints(lines);
     let (cold, all) = load(&mut rig, 200.0, 1500.0, ServerId(5));
     let warm = f64::from(all - cold) / 5.0;
     assert!(f64::from(cold) <= 0.5 * warm, "cold {cold}, a warm one {warm}");
@@ -54,7 +54,7 @@
     load(&mut rig, 200.0, 8600.0, ServerId(5));
     let (then, all) = load(&mut rig, 200.0, 1500.0, ServerId(5));
     assert!(f64::from(then) > 0.5 * f64::from(all) / 6.0, "warm by then: {then} of {all}");
-    rig.assert_rules();
+    rig.assert_invariants();
 }
 
 #[test]
@@ -62,13 +62,13 @@
     let mut rig = Rig::new(settings(), 4);
     let mut lines = fleet(6, 1, 1);
     lines[5].started = Some(rig.now);
-    rig.list(lines.clone());
+    rig.set_endpoints(lines.clone());
     load(&mut rig, 200.0, 8000.0, ServerId(5));
     lines[5].started = Some(rig.now);
-    rig.tell(Event::Endpoints(EndpointUpdate::Changes(vec![lines[5].clone()])));
+    rig.notify(Event::Endpoints(EndpointUpdate::Changes(vec![lines[5].clone()])));
     let (cold, all) = load(&mut rig, 200.0, 1000.0, ServerId(5));
     assert!(f64::from(cold) <= 0.5 * f64::from(all - cold) / 5.0, "{cold} of {all}");
-    rig.assert_rules();
+    rig.assert_invariants();
 }
 
 #[test]
@@ -76,10 +76,12 @@
     for n in [1, 4] {
         let mut rig = Rig::new(settings(), 4);
         let start = rig.now;
-        rig.list(fleet(n, 1, 1).into_iter().map(|l| Endpoint { started: Some(start), ..l }).collect());
+        rig.set_endpoints(
+            fleet(n, 1, 1).into_iter().map(|l| Endpoint { started: Some(start), ..l }).collect(),
+        );
         let (_, all) = load(&mut rig, 20.0, 1000.0, ServerId(0));
         assert!(all > 10, "{all} sent");
-        rig.assert_rules();
+        rig.assert_invariants();
     }
 }
 
@@ -88,10 +90,10 @@
 fn an_all_cold_fleet_is_paced_by_its_answers() {
     let mut rig = Rig::new(settings(), 4);
     let start = rig.now;
-    rig.list(fleet(4, 1, 1).into_iter().map(|l| Endpoint { started: Some(start), ..l }).collect());
+    rig.set_endpoints(fleet(4, 1, 1).into_iter().map(|l| Endpoint { started: Some(start), ..l }).collect());
     let mut sent = 0;
     for _ in 0..200 {
-        sent += u32::from(rig.ask(0).1.is_some());
+        sent += u32::from(rig.request(0).1.is_some());
     }
     assert!(sent <= 8, "{sent} sent at once to four servers at a fifth of their capacity");
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: an observer that holds a balancer to the four rules, and a small rig around one.
+//! What the tests share: an checker that holds a balancer to the four rules, and a small rig around one.
 #![allow(dead_code, missing_docs)]
 
 use balancer::*;
@@ -8,7 +8,7 @@
 const GRACE: Span = Span(20_000);
 
 #[derive(Debug, Clone)]
-struct Try {
+struct ObservedAttempt {
     at: Time,
     zone: ZoneId,
     cell: CellId,
@@ -16,93 +16,93 @@
 }
 
 #[derive(Debug)]
-struct Seen {
+struct ObservedRequest {
     class: usize,
     /// In requests of the usual size, by the hint.
     work: f64,
     deadline: Time,
-    tries: Vec<Try>,
-    over: bool,
-    bound: bool,
-    spent: bool,
-    uploading: bool,
+    attempts: Vec<ObservedAttempt>,
+    is_finished: bool,
+    has_response_started: bool,
+    is_body_consumed: bool,
+    is_uploading: bool,
 }
 
-/// Watches events and actions and notes every breach of a rule, without knowing how decisions are made.
-pub struct Observer {
+/// Watches events and actions and records every violation of an invariant, without knowing how decisions are made.
+pub struct InvariantChecker {
     settings: Settings,
-    requests: BTreeMap<RequestId, Seen>,
+    requests: BTreeMap<RequestId, ObservedRequest>,
     servers: BTreeMap<ServerId, Endpoint>,
-    leaving: BTreeMap<ServerId, Time>,
-    cordoned: BTreeMap<ServerId, Time>,
-    returned: BTreeMap<ServerId, Time>,
+    draining_since: BTreeMap<ServerId, Time>,
+    cordoned_since: BTreeMap<ServerId, Time>,
+    restored_at: BTreeMap<ServerId, Time>,
     sends: VecDeque<(Time, ServerId, f64)>,
     warm: BTreeSet<ServerId>,
-    warm_since: Time,
-    pub faults: Vec<String>,
+    warm_unchanged_since: Time,
+    pub violations: Vec<String>,
 }
 
-impl Observer {
+impl InvariantChecker {
     pub fn new(settings: &Settings) -> Self {
-        Observer {
+        InvariantChecker {
             settings: settings.clone(),
             requests: BTreeMap::new(),
             servers: BTreeMap::new(),
-            leaving: BTreeMap::new(),
-            cordoned: BTreeMap::new(),
-            returned: BTreeMap::new(),
+            draining_since: BTreeMap::new(),
+            cordoned_since: BTreeMap::new(),
+            restored_at: BTreeMap::new(),
             sends: VecDeque::new(),
             warm: BTreeSet::new(),
-            warm_since: Time(0),
-            faults: Vec::new(),
+            warm_unchanged_since: Time(0),
+            violations: Vec::new(),
         }
     }
 
-    fn fault(&mut self, now: Time, text: String) {
-        self.faults.push(format!("{:.3} ms: {text}", now.as_ms()));
+    fn violate(&mut self, now: Time, text: String) {
+        self.violations.push(format!("{:.3} ms: {text}", now.as_ms()));
     }
 
     pub fn event(&mut self, now: Time, event: &Event) {
         match event {
             Event::Request(r) => {
-                let seen = Seen {
+                let seen = ObservedRequest {
                     class: r.class.0,
                     work: r.cost_hint.map_or(1.0, |h| h.as_ms() / 40.0),
                     deadline: now + r.time_left,
-                    tries: Vec::new(),
-                    over: false,
-                    bound: false,
-                    spent: false,
-                    uploading: r.uploading,
+                    attempts: Vec::new(),
+                    is_finished: false,
+                    has_response_started: false,
+                    is_body_consumed: false,
+                    is_uploading: r.uploading,
                 };
                 self.requests.entry(r.id).or_insert(seen);
             }
             Event::Outcome { request, attempt, outcome, closed, .. } => {
                 if let Some(seen) = self.requests.get_mut(request) {
-                    if let Some(attempt) = seen.tries.get_mut(attempt.0 as usize) {
+                    if let Some(attempt) = seen.attempts.get_mut(attempt.0 as usize) {
                         attempt.ended.get_or_insert(*outcome);
                     }
-                    seen.over |= *closed;
+                    seen.is_finished |= *closed;
                 }
             }
             Event::FirstByte { request, .. } => {
                 if let Some(seen) = self.requests.get_mut(request) {
-                    seen.bound = true;
+                    seen.has_response_started = true;
                 }
             }
             Event::BodyComplete { request, time_left } => {
                 if let Some(seen) = self.requests.get_mut(request) {
-                    (seen.uploading, seen.deadline) = (false, now + *time_left);
+                    (seen.is_uploading, seen.deadline) = (false, now + *time_left);
                 }
             }
             Event::BodyConsumed { request } => {
                 if let Some(seen) = self.requests.get_mut(request) {
-                    seen.spent = true;
+                    seen.is_body_consumed = true;
                 }
             }
             Event::ClientDisconnected { request } => {
                 if let Some(seen) = self.requests.get_mut(request) {
-                    seen.over = true;
+                    seen.is_finished = true;
                 }
             }
             Event::Endpoints(update) => {
@@ -114,39 +114,39 @@
                 let named: BTreeSet<ServerId> = lines.iter().map(|l| l.server).collect();
                 if whole {
                     for server in self.servers.keys().filter(|s| !named.contains(s)) {
-                        self.leaving.entry(*server).or_insert(now);
+                        self.draining_since.entry(*server).or_insert(now);
                     }
                 }
                 for line in lines {
                     let before = self.servers.insert(line.server, line.clone());
                     if before.is_some_and(|b| b.started != line.started) {
-                        // A new process: what the old one was sent weighs nothing on it.
+                        // A new process: what the previous one was sent is no load on it.
                         self.sends.retain(|(_, s, _)| *s != line.server);
                     }
                 }
                 for server in named {
                     if self.servers[&server].status == Status::Serving {
-                        self.leaving.remove(&server);
+                        self.draining_since.remove(&server);
                     } else {
-                        self.leaving.entry(server).or_insert(now);
+                        self.draining_since.entry(server).or_insert(now);
                     }
                 }
             }
             Event::Cordon { server } => {
-                self.cordoned.entry(*server).or_insert(now);
+                self.cordoned_since.entry(*server).or_insert(now);
             }
-            Event::Uncordon { server, at } if self.cordoned.remove(server).is_some() => {
-                // What the process before the call was sent weighs nothing on the one that came back.
+            Event::Uncordon { server, at } if self.cordoned_since.remove(server).is_some() => {
+                // What the process before the cordon was sent is no load on the restored one.
                 self.sends.retain(|(_, s, _)| s != server);
-                self.returned.insert(*server, *at);
+                self.restored_at.insert(*server, *at);
             }
             _ => {}
         }
     }
 
-    /// The servers a request that may have run must stay with; `None` if it may not go out at all.
-    fn place_for(&self, seen: &Seen, now: Time) -> Option<(Option<ZoneId>, Option<CellId>)> {
-        let ran = seen.tries.iter().find(|t| t.ended.is_none_or(|o| !o.is_not_executed()));
+    /// The zone or cell that a request that may have been executed must stay in; `None` if it may not be sent at all.
+    fn retry_scope(&self, seen: &ObservedRequest, now: Time) -> Option<(Option<ZoneId>, Option<CellId>)> {
+        let ran = seen.attempts.iter().find(|t| t.ended.is_none_or(|o| !o.is_not_executed()));
         let Some(ran) = ran else { return Some((None, None)) };
         match self.settings.classes[seen.class].idempotency {
             Idempotency::Idempotent => Some((None, None)),
@@ -158,8 +158,8 @@
         }
     }
 
-    fn may_refuse(&self, seen: &Seen) -> bool {
-        let ran = seen.tries.iter().any(|t| t.ended.is_none_or(|o| !o.is_not_executed()));
+    fn may_reject(&self, seen: &ObservedRequest) -> bool {
+        let ran = seen.attempts.iter().any(|t| t.ended.is_none_or(|o| !o.is_not_executed()));
         match self.settings.classes[seen.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::AtMostOnce => !ran,
@@ -171,63 +171,63 @@
         match action {
             Action::Send { request, server, timeout_at } => {
                 let Some(line) = self.servers.get(server).cloned() else {
-                    return self.fault(now, format!("sent to {server:?}, which no list names"));
+                    return self.violate(now, format!("sent to {server:?}, which no list names"));
                 };
                 let Some(seen) = self.requests.get(request) else {
-                    return self.fault(now, format!("sent {request:?}, which nobody asked for"));
+                    return self.violate(now, format!("sent {request:?}, which was never submitted"));
                 };
                 let work = seen.work;
-                let out = seen.tries.iter().any(|t| t.ended.is_none());
+                let out = seen.attempts.iter().any(|t| t.ended.is_none());
                 let mut wrong = Vec::new();
-                if seen.over {
-                    wrong.push("sent after its end");
+                if seen.is_finished {
+                    wrong.push("sent after its final answer");
                 }
-                if seen.bound {
-                    wrong.push("sent though bound to a stream");
+                if seen.has_response_started {
+                    wrong.push("sent though its response has started");
                 }
-                if seen.tries.len() >= self.settings.max_attempts as usize {
+                if seen.attempts.len() >= self.settings.max_attempts as usize {
                     wrong.push("sent beyond the attempts allowed");
                 }
                 if out && !self.settings.hedging {
                     wrong.push("two attempts at once");
                 }
-                if seen.spent {
-                    wrong.push("sent though its body is not there any more");
+                if seen.is_body_consumed {
+                    wrong.push("sent though its body is consumed");
                 }
-                if !seen.uploading && (now > seen.deadline || *timeout_at > seen.deadline) {
+                if !seen.is_uploading && (now > seen.deadline || *timeout_at > seen.deadline) {
                     wrong.push("sent past its deadline");
                 }
-                match self.place_for(seen, now) {
-                    None => wrong.push("may have run and must not go out again"),
+                match self.retry_scope(seen, now) {
+                    None => wrong.push("may have been executed and must not be sent again"),
                     Some((zone, cell)) => {
                         if zone.is_some_and(|z| z != line.zone) || cell.is_some_and(|c| c != line.cell) {
-                            wrong.push("repeated outside the scope that drops repeats");
+                            wrong.push("retried outside the deduplication scope");
                         }
                     }
                 }
-                if self.leaving.get(server).is_some_and(|at| now > *at + self.settings.drain_grace) {
+                if self.draining_since.get(server).is_some_and(|at| now > *at + self.settings.drain_grace) {
                     wrong.push("sent to a draining or gone server");
                 }
-                if self.cordoned.get(server).is_some_and(|at| now > *at) {
+                if self.cordoned_since.get(server).is_some_and(|at| now > *at) {
                     wrong.push("sent to a cordoned server");
                 }
                 for text in wrong {
-                    self.fault(now, format!("{request:?}: {text}"));
+                    self.violate(now, format!("{request:?}: {text}"));
                 }
-                let attempt = Try { at: now, zone: line.zone, cell: line.cell, ended: None };
-                self.requests.get_mut(request).expect("looked up above").tries.push(attempt);
+                let attempt = ObservedAttempt { at: now, zone: line.zone, cell: line.cell, ended: None };
+                self.requests.get_mut(request).expect("looked up above").attempts.push(attempt);
                 self.sends.push_back((now, *server, work));
-                self.cold(now, *server);
+                self.check_slow_start(now, *server);
             }
             Action::Reject { request, .. } => {
-                if self.requests.get(request).is_some_and(|seen| !self.may_refuse(seen)) {
-                    self.fault(now, format!("{request:?}: refused though it may have run"));
+                if self.requests.get(request).is_some_and(|seen| !self.may_reject(seen)) {
+                    self.violate(now, format!("{request:?}: rejected though it may have been executed"));
                 }
                 self.finish(now, *request);
             }
             Action::Fail { request } => self.finish(now, *request),
-            Action::HealthCheck { server } if self.cordoned.get(server).is_some_and(|at| now > *at) => {
-                self.fault(now, format!("probed {server:?}, which is cordoned"));
+            Action::HealthCheck { server } if self.cordoned_since.get(server).is_some_and(|at| now > *at) => {
+                self.violate(now, format!("checked {server:?}, which is cordoned"));
             }
             _ => {}
         }
@@ -235,27 +235,27 @@
 
     fn finish(&mut self, now: Time, request: RequestId) {
         let text = match self.requests.get_mut(&request) {
-            None => Some("ended, but nobody asked for it"),
-            Some(seen) if seen.over => Some("ended twice"),
+            None => Some("answered, but never submitted"),
+            Some(seen) if seen.is_finished => Some("answered twice"),
             Some(seen) => {
-                seen.over = true;
-                (!seen.uploading && now > seen.deadline + GRACE).then_some("ended too late")
+                seen.is_finished = true;
+                (!seen.is_uploading && now > seen.deadline + GRACE).then_some("answered too late")
             }
         };
         if let Some(text) = text {
-            self.fault(now, format!("{request:?}: {text}"));
+            self.violate(now, format!("{request:?}: {text}"));
         }
     }
 
-    /// Holds this balancer's sends to a cold server against what it sends to the warm ones: its share, times
-    /// the site's factor, with room for a few requests of chance.
-    fn cold(&mut self, now: Time, server: ServerId) {
+    /// Checks what this balancer sends a server that is warming up against what it sends the warmed-up ones: its
+    /// share, times the overload factor, and a few requests that chance may add.
+    fn check_slow_start(&mut self, now: Time, server: ServerId) {
         let window = self.settings.overload_window;
         while self.sends.front().is_some_and(|(at, ..)| *at + window < now) {
             self.sends.pop_front();
         }
         let slow_start_factor = |line: &Endpoint| {
-            line.started.max(self.returned.get(&line.server).copied()).map_or(1.0, |s| {
+            line.started.max(self.restored_at.get(&line.server).copied()).map_or(1.0, |s| {
                 let grown = (now.since(s).as_ms() / self.settings.warm_up_time.as_ms()).min(1.0);
                 self.settings.initial_capacity + (1.0 - self.settings.initial_capacity) * grown
             })
@@ -268,11 +268,11 @@
             .map(|l| l.server)
             .collect();
         if warm != self.warm {
-            // What a fair share is has changed: a whole window must pass before sends can be held against it.
+            // The fair share has changed: a whole window must pass before sends can be compared with it.
             self.warm = warm.clone();
-            self.warm_since = now;
+            self.warm_unchanged_since = now;
         }
-        let settled = now.since(self.warm_since) >= window || self.warm_since == Time(0);
+        let settled = now.since(self.warm_unchanged_since) >= window || self.warm_unchanged_since == Time(0);
         if own >= 1.0 || warm.is_empty() || !settled {
             return;
         }
@@ -280,27 +280,32 @@
         let to_cold = self.sends.iter().filter(|(_, s, _)| *s == server).map(|s| s.2).sum::<f64>();
         let fair = to_warm / warm.len() as f64;
         if to_cold > 5.0 + self.settings.overload_factor * own * fair {
-            self.fault(now, format!("{server:?}: cold, sent {to_cold} where a warm one is sent {fair:.1}"));
+            self.violate(
+                now,
+                format!("{server:?}: warming up, sent {to_cold} where a warmed-up one is sent {fair:.1}"),
+            );
         }
     }
 
     /// Requests whose final answer is overdue.
-    pub fn lost(&self, now: Time) -> usize {
+    pub fn overdue_answers(&self, now: Time) -> usize {
         self.requests
             .values()
-            .filter(|r| !r.over && !r.bound && !r.uploading && now > r.deadline + GRACE)
+            .filter(|r| {
+                !r.is_finished && !r.has_response_started && !r.is_uploading && now > r.deadline + GRACE
+            })
             .count()
     }
 
-    pub fn forget_ended(&mut self) {
-        self.requests.retain(|_, r| !r.over || r.tries.iter().any(|t| t.ended.is_none()));
+    pub fn forget_finished(&mut self) {
+        self.requests.retain(|_, r| !r.is_finished || r.attempts.iter().any(|t| t.ended.is_none()));
     }
 }
 
-/// A balancer with an observer at its side and a clock to move.
+/// A balancer with an checker at its side and a clock to move.
 pub struct Rig {
     pub balancer: Balancer,
-    pub observer: Observer,
+    pub checker: InvariantChecker,
     pub now: Time,
     pub actions: Vec<Action>,
     timers: BTreeSet<(Time, TimerId)>,
@@ -309,11 +314,11 @@
 
 impl Rig {
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let observer = Observer::new(&settings);
+        let checker = InvariantChecker::new(&settings);
         let balancer = Balancer::new(settings, seed).expect("usable settings");
         let mut rig = Rig {
             balancer,
-            observer,
+            checker,
             now: Time::from_ms(50_000.0),
             actions: Vec::new(),
             timers: BTreeSet::new(),
@@ -321,13 +326,13 @@
         };
         let mut actions = Vec::new();
         rig.balancer.start(rig.now, &mut actions);
-        rig.take(actions);
+        rig.apply(actions);
         rig
     }
 
-    fn take(&mut self, actions: Vec<Action>) {
+    fn apply(&mut self, actions: Vec<Action>) {
         for action in &actions {
-            self.observer.action(self.now, action);
+            self.checker.action(self.now, action);
             if let Action::SetTimer { at, timer } = action {
                 self.timers.insert((*at, *timer));
             }
@@ -335,12 +340,12 @@
         self.actions = actions;
     }
 
-    /// Hands over an event; what the balancer answers is in `actions` afterwards.
-    pub fn tell(&mut self, event: Event) -> &[Action] {
-        self.observer.event(self.now, &event);
+    /// Notifies the balancer of an event; its actions are in `actions` afterwards.
+    pub fn notify(&mut self, event: Event) -> &[Action] {
+        self.checker.event(self.now, &event);
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
-        self.take(actions);
+        self.apply(actions);
         &self.actions
     }
 
@@ -351,42 +356,42 @@
         while let Some(&(at, timer)) = self.timers.iter().next().filter(|(at, _)| *at <= end) {
             self.timers.remove(&(at, timer));
             self.now = self.now.max(at);
-            all.extend_from_slice(self.tell(Event::Timer(timer)));
+            all.extend_from_slice(self.notify(Event::Timer(timer)));
         }
         self.now = end;
         all
     }
 
-    pub fn list(&mut self, lines: Vec<Endpoint>) {
-        self.tell(Event::Endpoints(EndpointUpdate::Complete(lines)));
+    pub fn set_endpoints(&mut self, lines: Vec<Endpoint>) {
+        self.notify(Event::Endpoints(EndpointUpdate::Complete(lines)));
     }
 
     /// A new request of a class; the server it was sent to, if it was.
-    pub fn ask(&mut self, class: usize) -> (RequestId, Option<ServerId>) {
+    pub fn request(&mut self, class: usize) -> (RequestId, Option<ServerId>) {
         let id = RequestId(self.next);
         self.next += 1;
-        let left = self.observer.settings.classes[class].deadline;
-        self.tell(Event::Request(Request::new(id, ClassId(class), left)));
+        let left = self.checker.settings.classes[class].deadline;
+        self.notify(Event::Request(Request::new(id, ClassId(class), left)));
         (id, self.sent_to(id))
     }
 
     /// A request of class 0 that has `ms` to be sent and is then answered well; the server it was sent to.
-    pub fn ask_and_answer(&mut self, ms: f64) -> Option<ServerId> {
-        let (id, sent) = self.ask(0);
+    pub fn request_and_respond(&mut self, ms: f64) -> Option<ServerId> {
+        let (id, sent) = self.request(0);
         let sent = sent.or(sent_in(&self.wait(Span::from_ms(ms)), id));
         if sent.is_some() {
-            self.answer(id, 0, Outcome::Success, ms);
+            self.respond(id, 0, Outcome::Success, ms);
         }
         sent
     }
 
     /// How many classes there are, and how long clients of one wait.
     pub fn classes(&self) -> usize {
-        self.observer.settings.classes.len()
+        self.checker.settings.classes.len()
     }
 
     pub fn deadline(&self, class: usize) -> Span {
-        self.observer.settings.classes[class].deadline
+        self.checker.settings.classes[class].deadline
     }
 
     /// Where the last actions sent a request.
@@ -394,11 +399,11 @@
         sent_in(&self.actions, id)
     }
 
-    pub fn answer(&mut self, id: RequestId, attempt: u32, outcome: Outcome, ms: f64) -> &[Action] {
-        self.answer_with(id, attempt, outcome, ms, None)
+    pub fn respond(&mut self, id: RequestId, attempt: u32, outcome: Outcome, ms: f64) -> &[Action] {
+        self.respond_with(id, attempt, outcome, ms, None)
     }
 
-    pub fn answer_with(
+    pub fn respond_with(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -406,7 +411,7 @@
         ms: f64,
         report: Option<Vec<f64>>,
     ) -> &[Action] {
-        self.tell(Event::Outcome {
+        self.notify(Event::Outcome {
             request,
             attempt: AttemptNo(attempt),
             outcome,
@@ -416,9 +421,9 @@
         })
     }
 
-    pub fn assert_rules(&self) {
-        assert!(self.observer.faults.is_empty(), "{:#?}", self.observer.faults);
-        assert_eq!(self.observer.lost(self.now), 0, "requests without a final answer");
+    pub fn assert_invariants(&self) {
+        assert!(self.checker.violations.is_empty(), "{:#?}", self.checker.violations);
+        assert_eq!(self.checker.overdue_answers(self.now), 0, "requests without a final answer");
     }
 }
 
@@ -430,7 +435,7 @@
     })
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
+pub fn rejected(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
@@ -458,6 +463,6 @@
     }
 }
 
-pub fn keyed(scope: DeduplicationScope, window_ms: f64) -> Idempotency {
+pub fn deduplicated(scope: DeduplicationScope, window_ms: f64) -> Idempotency {
     Idempotency::Deduplicated { scope, window: Span::from_ms(window_ms) }
 }
--- a/tests/cordon.rs
+++ b/tests/cordon.rs
@@ -1,4 +1,4 @@
-//! Guards the operators' word on a server: nothing goes there until they call it back, and then it is cold.
+//! Guards the operators' command on a server: nothing is sent there until they uncordon it, and then it is warming up.
 mod common;
 use balancer::*;
 use common::*;
@@ -8,7 +8,7 @@
 fn rig(seed: u64) -> Rig {
     let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut rig = Rig::new(settings, seed);
-    rig.list(fleet(4, 1, 1));
+    rig.set_endpoints(fleet(4, 1, 1));
     rig
 }
 
@@ -16,18 +16,18 @@
 fn serve(rig: &mut Rig, count: u32, answer: impl Fn(ServerId) -> Outcome) -> usize {
     let mut there = 0;
     for _ in 0..count {
-        let (id, mut server) = rig.ask(0);
+        let (id, mut server) = rig.request(0);
         let mut attempt = 0;
         while let Some(to) = server {
             there += usize::from(to == SERVER);
             rig.wait(Span::from_ms(5.0));
-            rig.answer(id, attempt, answer(to), 5.0);
+            rig.respond(id, attempt, answer(to), 5.0);
             server = rig.sent_to(id);
             attempt += 1;
         }
         rig.wait(Span::from_ms(5.0));
     }
-    rig.assert_rules();
+    rig.assert_invariants();
     there
 }
 
@@ -36,7 +36,7 @@
     let mut rig = rig(5);
     assert!(serve(&mut rig, 100, |_| Outcome::Success) > 5, "used before");
     assert!(rig
-        .tell(Event::Cordon { server: SERVER })
+        .notify(Event::Cordon { server: SERVER })
         .contains(&Action::CloseIdleConnections { server: SERVER }));
     rig.wait(Span::from_ms(1.0));
     assert_eq!(rig.balancer.endpoint_counts(rig.now), EndpointCounts { listed: 4, avoided: 1 });
@@ -53,14 +53,14 @@
         Event::Cordon { server: SERVER },
     ];
     for event in news {
-        rig.tell(event);
+        rig.notify(event);
         assert_eq!(serve(&mut rig, 100, |_| Outcome::Success), 0);
     }
     // Retries too: all others fail, and it is the one that has not been tried.
     assert_eq!(serve(&mut rig, 100, |_| Outcome::ConnectFailed), 0);
-    // Two calls out need one call back.
+    // Two cordons need one uncordon.
     let at = rig.now;
-    rig.tell(Event::Uncordon { server: SERVER, at });
+    rig.notify(Event::Uncordon { server: SERVER, at });
     rig.wait(Span::from_ms(8000.0));
     assert!(serve(&mut rig, 100, |_| Outcome::Success) > 0);
 }
@@ -69,16 +69,16 @@
 fn a_server_cordoned_before_it_is_listed_gets_nothing() {
     let mut rig = rig(5);
     let server = ServerId(9);
-    rig.tell(Event::Cordon { server });
+    rig.notify(Event::Cordon { server });
     rig.wait(Span::from_ms(1.0));
-    rig.tell(Event::Endpoints(EndpointUpdate::Changes(vec![Endpoint::serving(server)])));
+    rig.notify(Event::Endpoints(EndpointUpdate::Changes(vec![Endpoint::serving(server)])));
     serve(&mut rig, 100, |_| Outcome::Success);
     assert_eq!(rig.balancer.endpoint_counts(rig.now), EndpointCounts { listed: 5, avoided: 1 });
 }
 
-/// Probes, too, where the candidates are asked for their load, and where the cordon comes while they are asked.
+/// Health checks, too, where the candidates are asked for their load, and where the cordon comes while they are asked.
 #[test]
-fn a_cordoned_server_is_not_probed_nor_chosen_by_an_earlier_probe() {
+fn a_cordoned_server_is_sent_no_health_check_and_not_selected_by_an_earlier_one() {
     let settings = Settings {
         balancers: 40,
         probes: true,
@@ -88,80 +88,80 @@
         ..Settings::default()
     };
     let mut rig = Rig::new(settings, 5);
-    rig.list(fleet(2, 1, 1));
-    let (id, _) = rig.ask(0);
+    rig.set_endpoints(fleet(2, 1, 1));
+    let (id, _) = rig.request(0);
     let probed: Vec<_> =
         rig.actions.iter().filter(|a| matches!(a, Action::HealthCheck { .. })).cloned().collect();
     assert_eq!(probed.len(), 2, "{probed:?}");
-    rig.tell(Event::Cordon { server: ServerId(0) });
+    rig.notify(Event::Cordon { server: ServerId(0) });
     rig.wait(Span::from_ms(1.0));
     for (server, load) in [(ServerId(0), 0.0), (ServerId(1), 5.0)] {
         let (outcome, elapsed) = (Outcome::Success, Span::from_ms(1.0));
-        rig.tell(Event::HealthChecked { server, outcome, elapsed, report: Some(vec![load]) });
+        rig.notify(Event::HealthChecked { server, outcome, elapsed, report: Some(vec![load]) });
     }
     assert_eq!(rig.sent_to(id), Some(ServerId(1)));
     for _ in 0..50 {
-        rig.ask(0);
+        rig.request(0);
     }
-    rig.assert_rules();
+    rig.assert_invariants();
 }
 
 #[test]
-fn with_everything_cordoned_requests_are_refused_at_once() {
+fn with_everything_cordoned_requests_are_rejected_at_once() {
     let mut rig = rig(5);
     for line in fleet(4, 1, 1) {
-        rig.tell(Event::Cordon { server: line.server });
+        rig.notify(Event::Cordon { server: line.server });
     }
-    let (id, sent) = rig.ask(0);
+    let (id, sent) = rig.request(0);
     assert_eq!(sent, None);
-    assert!(refused(&rig.actions, id), "{:?}", rig.actions);
+    assert!(rejected(&rig.actions, id), "{:?}", rig.actions);
     let at = rig.now;
-    rig.tell(Event::Uncordon { server: SERVER, at });
-    assert_eq!(rig.ask(0).1, Some(SERVER));
-    rig.assert_rules();
+    rig.notify(Event::Uncordon { server: SERVER, at });
+    assert_eq!(rig.request(0).1, Some(SERVER));
+    rig.assert_invariants();
 }
 
-/// It has been restarted meanwhile, so it gets a cold server's share though the list tells of no start.
+/// It has been restarted meanwhile, so it gets a warming server's share though the list tells of no start.
 #[test]
-fn a_server_called_back_is_cold() {
+fn an_uncordoned_server_is_warming_up() {
     let mut rig = rig(5);
     serve(&mut rig, 200, |_| Outcome::Success);
-    rig.tell(Event::Cordon { server: SERVER });
+    rig.notify(Event::Cordon { server: SERVER });
     serve(&mut rig, 200, |_| Outcome::Success);
     let at = rig.now;
-    rig.tell(Event::Uncordon { server: SERVER, at });
+    rig.notify(Event::Uncordon { server: SERVER, at });
     let cold = serve(&mut rig, 200, |_| Outcome::Success);
     assert!(cold < 30, "{cold} of 200 with four servers");
-    // A call back of one that is not out is no restart.
+    // To uncordon a server that is not cordoned is no restart.
     rig.wait(Span::from_ms(20_000.0));
     serve(&mut rig, 50, |_| Outcome::Success);
     let at = rig.now;
-    rig.tell(Event::Uncordon { server: SERVER, at });
+    rig.notify(Event::Uncordon { server: SERVER, at });
     let warm = serve(&mut rig, 200, |_| Outcome::Success);
     assert!(warm > 30, "{warm} of 200 with four servers");
 }
 
-/// A balancer with so little traffic that a cold server's share stays under one request tries it all the same, at
+/// A balancer with so little traffic that a warming server's share stays under one request tries it all the same, at
 /// a time of its own.
 #[test]
-fn a_server_called_back_is_tried_within_five_seconds() {
+fn an_uncordoned_server_is_tried_within_five_seconds() {
     let mut firsts = Vec::new();
     for seed in 0..8 {
         let mut rig = rig(seed);
         let rare = |rig: &mut Rig, ms: f64| {
-            let sent = rig.ask_and_answer(5.0);
+            let sent = rig.request_and_respond(5.0);
             rig.wait(Span::from_ms(ms));
             sent == Some(SERVER)
         };
         let before = (0..20).filter(|_| rare(&mut rig, 250.0)).count();
         assert!(before > 0, "used before");
-        rig.tell(Event::Cordon { server: SERVER });
+        rig.notify(Event::Cordon { server: SERVER });
         (0..20).for_each(|_| assert!(!rare(&mut rig, 250.0)));
         let at = rig.now;
-        rig.tell(Event::Uncordon { server: SERVER, at });
+        rig.notify(Event::Uncordon { server: SERVER, at });
         let first = (0..18).position(|_| rare(&mut rig, 250.0));
         firsts.push(first.unwrap_or_else(|| panic!("seed {seed}: not tried")));
-        rig.assert_rules();
+        rig.assert_invariants();
     }
     firsts.sort();
     assert!(firsts[0] < 6 && firsts[7] > 8, "all at one time: {firsts:?}");
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -16,7 +16,7 @@
     Endpoint { zone: ZoneId(i % ZONES), cell: CellId(i / 4), ..Endpoint::serving(ServerId(i)) }
 }
 
-struct EndpointCounts {
+struct MeasuredFleet {
     balancer: Balancer,
     servers: u32,
     now: Time,
@@ -24,17 +24,17 @@
     out: Vec<Action>,
 }
 
-impl EndpointCounts {
+impl MeasuredFleet {
     fn new(servers: u32, class: Class) -> Self {
         let settings = Settings { balancers: 4, classes: vec![class], ..Settings::default() };
         let (balancer, now) = (Balancer::new(settings, 7).expect("usable settings"), Time::from_ms(1e6));
-        let mut fleet = EndpointCounts { balancer, servers, now, next: 0, out: Vec::new() };
-        fleet.tell(Event::Endpoints(EndpointUpdate::Complete((0..servers).map(line).collect())));
+        let mut fleet = MeasuredFleet { balancer, servers, now, next: 0, out: Vec::new() };
+        fleet.notify(Event::Endpoints(EndpointUpdate::Complete((0..servers).map(line).collect())));
         fleet
     }
 
     /// Has it take in an event a millisecond later; how long that took.
-    fn tell(&mut self, event: Event) -> Duration {
+    fn notify(&mut self, event: Event) -> Duration {
         self.now = self.now + Span::from_ms(1.0);
         self.out.clear();
         let begun = Instant::now();
@@ -42,15 +42,15 @@
         begun.elapsed()
     }
 
-    fn ask(&mut self) -> Duration {
+    fn request(&mut self) -> Duration {
         self.next += 1;
-        self.tell(Event::Request(Request::new(RequestId(self.next), ClassId(0), Span::from_ms(5000.0))))
+        self.notify(Event::Request(Request::new(RequestId(self.next), ClassId(0), Span::from_ms(5000.0))))
     }
 
-    fn answer(&mut self, outcome: Outcome) -> Duration {
+    fn respond(&mut self, outcome: Outcome) -> Duration {
         let (request, attempt, elapsed) = (RequestId(self.next), AttemptNo(0), Span::from_ms(10.0));
         let closed = outcome == Outcome::Success;
-        self.tell(Event::Outcome { request, attempt, outcome, elapsed, report: None, closed })
+        self.notify(Event::Outcome { request, attempt, outcome, elapsed, report: None, closed })
     }
 
     fn sent_to(&self) -> Option<ServerId> {
@@ -62,7 +62,7 @@
 
     fn tick(&mut self) -> Duration {
         self.now = self.now + Span::from_ms(50.0);
-        self.tell(Event::Timer(TimerId(0)))
+        self.notify(Event::Timer(TimerId(0)))
     }
 }
 
@@ -70,10 +70,10 @@
 fn compare(
     what: &str,
     class: Class,
-    prepare: fn(&mut EndpointCounts),
-    cost: fn(&mut EndpointCounts) -> Duration,
+    prepare: fn(&mut MeasuredFleet),
+    cost: fn(&mut MeasuredFleet) -> Duration,
 ) {
-    let mut fleets = [FEW, MANY].map(|servers| EndpointCounts::new(servers, class.clone()));
+    let mut fleets = [FEW, MANY].map(|servers| MeasuredFleet::new(servers, class.clone()));
     fleets.iter_mut().for_each(prepare);
     let mut least = [Duration::MAX; 2];
     for _ in 0..200 {
@@ -87,26 +87,26 @@
 }
 
 /// Half of the servers have answered.
-fn in_use(fleet: &mut EndpointCounts) {
+fn in_use(fleet: &mut MeasuredFleet) {
     for _ in 0..fleet.servers {
-        fleet.ask();
-        fleet.answer(Outcome::Success);
+        fleet.request();
+        fleet.respond(Outcome::Success);
     }
     fleet.tick();
 }
 
 #[test]
 fn an_idle_tick_costs_the_same_in_a_large_fleet() {
-    compare("an idle tick", class(Idempotency::Idempotent), in_use, EndpointCounts::tick);
+    compare("an idle tick", class(Idempotency::Idempotent), in_use, MeasuredFleet::tick);
 }
 
 #[test]
 fn a_change_of_one_server_costs_the_same_in_a_large_fleet() {
     compare("a change", class(Idempotency::Idempotent), in_use, |fleet| {
         let news = |status| Event::Endpoints(EndpointUpdate::Changes(vec![Endpoint { status, ..line(77) }]));
-        fleet.tell(news(Status::Draining))
-            + fleet.tell(news(Status::Gone))
-            + fleet.tell(news(Status::Serving))
+        fleet.notify(news(Status::Draining))
+            + fleet.notify(news(Status::Gone))
+            + fleet.notify(news(Status::Serving))
     });
 }
 
@@ -114,38 +114,38 @@
 fn a_cordon_costs_the_same_in_a_large_fleet() {
     compare("a cordon", class(Idempotency::Idempotent), in_use, |fleet| {
         let (server, at) = (ServerId(78), fleet.now);
-        fleet.tell(Event::Cordon { server }) + fleet.tell(Event::Uncordon { server, at })
+        fleet.notify(Event::Cordon { server }) + fleet.notify(Event::Uncordon { server, at })
     });
 }
 
 #[test]
 fn a_request_and_its_answer_cost_the_same_in_a_large_fleet() {
     compare("a request", class(Idempotency::Idempotent), in_use, |fleet| {
-        let pick = fleet.ask();
-        pick + fleet.answer(Outcome::Success) + fleet.tick()
+        let pick = fleet.request();
+        pick + fleet.respond(Outcome::Success) + fleet.tick()
     });
 }
 
 #[test]
-fn a_suspicion_costs_the_same_in_a_large_fleet() {
+fn an_ejection_costs_the_same_in_a_large_fleet() {
     compare("a suspicion", class(Idempotency::Idempotent), in_use, |fleet| {
         // Where all fails, a failure is no evidence against one server.
         for _ in 0..60 {
-            fleet.ask();
-            fleet.answer(Outcome::Success);
+            fleet.request();
+            fleet.respond(Outcome::Success);
         }
-        fleet.ask();
+        fleet.request();
         let server = fleet.sent_to().expect("there is room");
-        fleet.answer(Outcome::Success);
+        fleet.respond(Outcome::Success);
         let (mut cost, mut suspect) = (Duration::ZERO, false);
         for _ in 0..4 {
-            cost += fleet.tell(Event::ResponseAborted { server });
+            cost += fleet.notify(Event::ResponseAborted { server });
             suspect |= fleet.out.iter().any(|a| matches!(a, Action::Log { .. }));
         }
-        assert!(suspect, "it was not made suspect");
+        assert!(suspect, "it was not ejected");
         let at = fleet.now;
-        fleet.tell(Event::Cordon { server });
-        fleet.tell(Event::Uncordon { server, at });
+        fleet.notify(Event::Cordon { server });
+        fleet.notify(Event::Uncordon { server, at });
         cost
     });
 }
@@ -153,38 +153,38 @@
 /// Of servers that are all full, a pick looks at some, and not at all, before the request waits.
 #[test]
 fn a_request_that_finds_all_servers_full_costs_the_same_in_a_large_fleet() {
-    let fill = |fleet: &mut EndpointCounts| {
+    let fill = |fleet: &mut MeasuredFleet| {
         // Two attempts fill a server whose limit has not grown.
         for _ in 0..3 * fleet.servers {
-            fleet.ask();
+            fleet.request();
             fleet.now = fleet.now - Span::from_ms(1.0);
         }
         assert!(fleet.sent_to().is_none(), "there is still room");
     };
     let long = Span::from_ms(5000.0);
     let class = Class { latency_objective: long, deadline: long, ..class(Idempotency::Idempotent) };
-    compare("a request with all full", class, fill, EndpointCounts::ask);
+    compare("a request with all full", class, fill, MeasuredFleet::request);
 }
 
-/// A repeat that only its cell may be sent finds the cell's servers among all others, at the same cost.
+/// A retry that only its cell may be sent finds the cell's servers among all others, at the same cost.
 #[test]
-fn a_repeat_finds_its_cell_in_a_large_fleet_at_the_same_cost() {
-    let class = class(keyed(DeduplicationScope::Cell, 10_000.0));
+fn a_retry_finds_its_cell_in_a_large_fleet_at_the_same_cost() {
+    let class = class(deduplicated(DeduplicationScope::Cell, 10_000.0));
     compare("a repeat in its cell", class, in_use, |fleet| {
         // Further attempts are earned by requests.
         for _ in 0..10 {
-            fleet.ask();
-            fleet.answer(Outcome::Success);
+            fleet.request();
+            fleet.respond(Outcome::Success);
         }
-        fleet.ask();
+        fleet.request();
         let first = fleet.sent_to().expect("there is room");
-        let cost = fleet.answer(Outcome::ServerError);
+        let cost = fleet.respond(Outcome::ServerError);
         let second = fleet.sent_to().expect("its cell has room");
         assert_eq!(second.0 / 4, first.0 / 4, "it left its cell");
         assert_ne!(second, first);
         let (request, attempt, elapsed) = (RequestId(fleet.next), AttemptNo(1), Span::from_ms(10.0));
         let outcome = Outcome::Success;
-        fleet.tell(Event::Outcome { request, attempt, outcome, elapsed, report: None, closed: true });
+        fleet.notify(Event::Outcome { request, attempt, outcome, elapsed, report: None, closed: true });
         cost
     });
 }
--- a/tests/no_doubled_effect.rs
+++ b/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! Guards rule two: an effect must not happen twice, and a refusal must not be told of what may have run.
+//! Guards rule two: an effect must not happen twice, and a rejection must not be told of what may have run.
 mod common;
 use balancer::*;
 use common::*;
@@ -19,9 +19,9 @@
     let effects = [
         Idempotency::Idempotent,
         Idempotency::AtMostOnce,
-        keyed(DeduplicationScope::All, 100.0),
-        keyed(DeduplicationScope::Zone, 100.0),
-        keyed(DeduplicationScope::Cell, 100.0),
+        deduplicated(DeduplicationScope::All, 100.0),
+        deduplicated(DeduplicationScope::Zone, 100.0),
+        deduplicated(DeduplicationScope::Cell, 100.0),
     ];
     for copies in [false, true] {
         for idempotency in effects {
@@ -33,11 +33,11 @@
                         ..Settings::default()
                     };
                     let mut rig = Rig::new(settings, 3);
-                    rig.list(fleet(12, 3, 4));
-                    let (id, first) = rig.ask(0);
+                    rig.set_endpoints(fleet(12, 3, 4));
+                    let (id, first) = rig.request(0);
                     let first = first.expect("an idle fleet takes a request").0;
                     rig.wait(Span::from_ms(ms));
-                    rig.answer(id, 0, outcome, ms);
+                    rig.respond(id, 0, outcome, ms);
                     let (next, actions) = (rig.sent_to(id), rig.actions.clone());
                     let case = format!("{idempotency:?} {outcome:?} after {ms} ms, copies {copies}");
                     let proven = outcome.is_not_executed();
@@ -54,7 +54,7 @@
                             match scope {
                                 _ if proven => {}
                                 DeduplicationScope::All => {
-                                    assert_eq!(refused(&actions, id), !inside, "{case}")
+                                    assert_eq!(rejected(&actions, id), !inside, "{case}")
                                 }
                                 DeduplicationScope::Zone => assert_eq!(next % 3, first % 3, "{case}"),
                                 DeduplicationScope::Cell => assert_eq!(next % 4, first % 4, "{case}"),
@@ -64,7 +64,7 @@
                             }
                         }
                     }
-                    rig.assert_rules();
+                    rig.assert_invariants();
                 }
             }
         }
@@ -73,67 +73,69 @@
 
 /// The window and the group are those of the first attempt that may have run, not of the first or the last.
 #[test]
-fn the_group_is_that_of_the_first_attempt_that_may_have_run() {
+fn the_deduplication_scope_is_that_of_the_first_attempt_that_may_have_been_executed() {
     let settings = Settings {
-        classes: vec![class(keyed(DeduplicationScope::Zone, 400.0))],
+        classes: vec![class(deduplicated(DeduplicationScope::Zone, 400.0))],
         max_attempts: 6,
         ..Settings::default()
     };
     for seed in 0..40 {
         let mut rig = Rig::new(settings.clone(), seed);
-        rig.list(fleet(9, 3, 3));
-        let (id, _) = rig.ask(0);
-        rig.answer(id, 0, Outcome::ConnectFailed, 1.0);
+        rig.set_endpoints(fleet(9, 3, 3));
+        let (id, _) = rig.request(0);
+        rig.respond(id, 0, Outcome::ConnectFailed, 1.0);
         let second = rig.sent_to(id).expect("never ran: anywhere").0;
-        rig.answer(id, 1, Outcome::ConnectionReset, 1.0);
+        rig.respond(id, 1, Outcome::ConnectionReset, 1.0);
         let third = rig.sent_to(id).expect("inside the window: same zone").0;
         assert_eq!(third % 3, second % 3);
-        rig.assert_rules();
+        rig.assert_invariants();
     }
 }
 
 /// A proven non-run after one that may have run does not lift the ban.
 #[test]
-fn a_later_proof_does_not_clear_an_earlier_attempt() {
-    let settings =
-        Settings { classes: vec![class(keyed(DeduplicationScope::Cell, 5000.0))], ..Settings::default() };
+fn a_later_attempt_that_was_not_executed_does_not_clear_an_earlier_one() {
+    let settings = Settings {
+        classes: vec![class(deduplicated(DeduplicationScope::Cell, 5000.0))],
+        ..Settings::default()
+    };
     let mut rig = Rig::new(settings, 9);
-    rig.list(fleet(8, 2, 4));
-    let (id, first) = rig.ask(0);
-    rig.answer(id, 0, Outcome::ServerError, 1.0);
+    rig.set_endpoints(fleet(8, 2, 4));
+    let (id, first) = rig.request(0);
+    rig.respond(id, 0, Outcome::ServerError, 1.0);
     assert!(rig.sent_to(id).is_some());
-    rig.answer(id, 1, Outcome::Rejected, 1.0);
+    rig.respond(id, 1, Outcome::Rejected, 1.0);
     let third = rig.sent_to(id).map(|s| s.0 % 4);
     assert_eq!(third.unwrap_or(first.unwrap().0 % 4), first.unwrap().0 % 4);
-    assert!(!refused(&rig.actions, id), "it may have run in the first attempt");
-    rig.assert_rules();
+    assert!(!rejected(&rig.actions, id), "it may have run in the first attempt");
+    rig.assert_invariants();
 }
 
 /// A connection may take its time to come up. What was decided before holds at the first byte, or nothing begins.
 #[test]
-fn what_may_begin_at_its_first_byte() {
+fn an_attempt_may_begin_only_while_its_retry_is_permitted() {
     let window = 100.0;
     for (idempotency, late) in
-        [(Idempotency::Idempotent, true), (keyed(DeduplicationScope::All, window), false)]
+        [(Idempotency::Idempotent, true), (deduplicated(DeduplicationScope::All, window), false)]
     {
         let settings = Settings { classes: vec![class(idempotency)], ..Settings::default() };
         let mut rig = Rig::new(settings, 3);
-        rig.list(fleet(2, 1, 1));
-        let (id, _) = rig.ask(0);
+        rig.set_endpoints(fleet(2, 1, 1));
+        let (id, _) = rig.request(0);
         rig.wait(Span::from_ms(5.0));
         assert!(rig.balancer.may_begin(rig.now, id, AttemptNo(0)));
         assert!(!rig.balancer.may_begin(rig.now, id, AttemptNo(1)), "decided on by nobody");
-        rig.answer(id, 0, Outcome::ConnectionReset, 5.0);
+        rig.respond(id, 0, Outcome::ConnectionReset, 5.0);
         let server = rig.sent_to(id).expect("a repeat");
         assert!(rig.balancer.may_begin(rig.now, id, AttemptNo(1)));
         let past = rig.now + Span::from_ms(window);
         assert_eq!(rig.balancer.may_begin(past, id, AttemptNo(1)), late, "{idempotency:?}");
         let listed = |status| Endpoint { status, ..Endpoint::serving(server) };
-        rig.tell(Event::Endpoints(EndpointUpdate::Changes(vec![listed(Status::Draining)])));
+        rig.notify(Event::Endpoints(EndpointUpdate::Changes(vec![listed(Status::Draining)])));
         assert!(!rig.balancer.may_begin(rig.now, id, AttemptNo(1)), "to one that drains");
-        rig.tell(Event::Endpoints(EndpointUpdate::Changes(vec![listed(Status::Serving)])));
+        rig.notify(Event::Endpoints(EndpointUpdate::Changes(vec![listed(Status::Serving)])));
         assert!(rig.balancer.may_begin(rig.now, id, AttemptNo(1)));
-        rig.tell(Event::ClientDisconnected { request: id });
+        rig.notify(Event::ClientDisconnected { request: id });
         assert!(!rig.balancer.may_begin(rig.now, id, AttemptNo(1)), "for nobody");
     }
 }
--- a/tests/observer_sees_breaches.rs
+++ b/tests/invariant_checker.rs
@@ -1,9 +1,9 @@
-//! Guards the other tests: the observer must object to a broken decision of each kind.
+//! Guards the other tests: the checker must object to a broken decision of each kind.
 mod common;
 use balancer::*;
 use common::*;
 
-fn watch(idempotency: Idempotency) -> (Observer, Time) {
+fn watch(idempotency: Idempotency) -> (InvariantChecker, Time) {
     let settings = Settings {
         classes: vec![class(idempotency)],
         initial_capacity: 0.2,
@@ -11,10 +11,10 @@
         ..Settings::default()
     };
     let now = Time::from_ms(1000.0);
-    let mut observer = Observer::new(&settings);
-    observer.event(now, &Event::Endpoints(EndpointUpdate::Complete(fleet(4, 2, 4))));
-    observer.event(now, &Event::Request(Request::new(RequestId(1), ClassId(0), Span::from_ms(800.0))));
-    (observer, now)
+    let mut checker = InvariantChecker::new(&settings);
+    checker.event(now, &Event::Endpoints(EndpointUpdate::Complete(fleet(4, 2, 4))));
+    checker.event(now, &Event::Request(Request::new(RequestId(1), ClassId(0), Span::from_ms(800.0))));
+    (checker, now)
 }
 
 fn send(server: u32, now: Time) -> Action {
@@ -32,52 +32,52 @@
     }
 }
 
-fn objects(observer: &Observer, text: &str) {
-    assert!(observer.faults.iter().any(|f| f.contains(text)), "{text}: {:?}", observer.faults);
+fn assert_violation(checker: &InvariantChecker, text: &str) {
+    assert!(checker.violations.iter().any(|f| f.contains(text)), "{text}: {:?}", checker.violations);
 }
 
 #[test]
-fn lost_late_double_and_posthumous() {
+fn missing_late_and_repeated_answers_are_violations() {
     let (mut o, now) = watch(Idempotency::Idempotent);
-    assert_eq!(o.lost(now + Span::from_ms(900.0)), 1);
+    assert_eq!(o.overdue_answers(now + Span::from_ms(900.0)), 1);
     o.action(now, &Action::Reject { request: RequestId(1), retry_after: None });
-    assert!(o.faults.is_empty());
+    assert!(o.violations.is_empty());
     o.action(now, &send(0, now));
-    objects(&o, "sent after its end");
+    assert_violation(&o, "sent after its final answer");
     o.action(now, &Action::Fail { request: RequestId(1) });
-    objects(&o, "ended twice");
+    assert_violation(&o, "answered twice");
     let (mut o, now) = watch(Idempotency::Idempotent);
     o.action(now + Span::from_ms(850.0), &Action::Fail { request: RequestId(1) });
-    objects(&o, "ended too late");
+    assert_violation(&o, "answered too late");
 }
 
 #[test]
-fn doubled_effects() {
+fn repeated_execution_is_a_violation() {
     let (mut o, now) = watch(Idempotency::AtMostOnce);
     o.action(now, &send(0, now));
     o.action(now, &send(1, now));
-    objects(&o, "two attempts at once");
+    assert_violation(&o, "two attempts at once");
     o.event(now, &ended(Outcome::ServerError, 0));
-    objects(&o, "must not go out again");
+    assert_violation(&o, "must not be sent again");
     o.action(now, &Action::Reject { request: RequestId(1), retry_after: None });
-    objects(&o, "refused though it may have run");
+    assert_violation(&o, "rejected though it may have been executed");
 
-    let (mut o, now) = watch(keyed(DeduplicationScope::Zone, 100.0));
+    let (mut o, now) = watch(deduplicated(DeduplicationScope::Zone, 100.0));
     o.action(now, &send(0, now));
     o.event(now, &ended(Outcome::TimedOut, 0));
     o.action(now, &send(2, now));
-    assert!(o.faults.is_empty(), "{:?}", o.faults);
+    assert!(o.violations.is_empty(), "{:?}", o.violations);
     o.event(now, &ended(Outcome::TimedOut, 1));
     o.action(now, &send(1, now));
-    objects(&o, "outside the scope");
+    assert_violation(&o, "outside the deduplication scope");
     let late = now + Span::from_ms(150.0);
     o.event(late, &ended(Outcome::TimedOut, 2));
     o.action(late, &send(0, late));
-    objects(&o, "must not go out again");
+    assert_violation(&o, "must not be sent again");
 }
 
 #[test]
-fn drains_and_cold_servers() {
+fn sends_to_draining_and_overloaded_warming_servers_are_violations() {
     let (mut o, now) = watch(Idempotency::Idempotent);
     let line = Endpoint { status: Status::Draining, ..Endpoint::serving(ServerId(0)) };
     o.event(now, &Event::Endpoints(EndpointUpdate::Changes(vec![line])));
@@ -85,7 +85,7 @@
     o.event(later, &Event::Request(Request::new(RequestId(2), ClassId(0), Span::from_ms(800.0))));
     let timeout_at = later + Span::from_ms(1.0);
     o.action(later, &Action::Send { request: RequestId(2), server: ServerId(0), timeout_at });
-    objects(&o, "draining or gone");
+    assert_violation(&o, "draining or gone");
 
     let (mut o, now) = watch(Idempotency::Idempotent);
     let line = Endpoint { started: Some(now), ..Endpoint::serving(ServerId(0)) };
@@ -95,10 +95,10 @@
         o.event(now, &Event::Request(Request::new(RequestId(id), ClassId(0), Span::from_ms(800.0))));
         o.action(now, &Action::Send { request: RequestId(id), server: ServerId(0), timeout_at: now });
     }
-    objects(&o, "cold");
+    assert_violation(&o, "warming up");
 }
 
-/// A whole window: the observer judges only once the fleet has been as it is for so long.
+/// A whole window: the checker judges only once the fleet has been as it is for so long.
 fn settings_window() -> Span {
     Settings::default().overload_window
 }
--- a/tests/memory_does_not_grow.rs
+++ b/tests/memory_does_not_grow.rs
@@ -3,14 +3,14 @@
 use balancer::*;
 use common::*;
 
-/// Resident memory of this process in KiB; `None` where the system does not tell.
+/// Resident memory of this process in KiB; `None` where the system does not say.
 fn resident() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
     text.lines().find(|l| l.starts_with("VmRSS"))?.split_whitespace().nth(1)?.parse().ok()
 }
 
 #[test]
-fn many_requests_leave_nothing_behind() {
+fn many_requests_leave_no_memory_in_use() {
     let settings =
         Settings { classes: vec![class(Idempotency::Idempotent)], key_affinity: true, ..Settings::default() };
     let mut balancer = Balancer::new(settings, 1).unwrap();
--- a/tests/suspects.rs
+++ b/tests/outliers.rs
@@ -1,4 +1,4 @@
-//! Guards against servers that hang, fail fast or slow down, and against taking a crowd for sick servers.
+//! Guards against servers that hang, fail fast or slow down, and against taking congestion for failing servers.
 mod common;
 use balancer::*;
 use common::*;
@@ -11,27 +11,27 @@
 fn serve(rig: &mut Rig, n: usize, count: u32, answer: impl Fn(ServerId) -> (Outcome, f64)) -> Vec<u32> {
     let mut sent = vec![0; n];
     for _ in 0..count {
-        let (id, mut server) = rig.ask(0);
+        let (id, mut server) = rig.request(0);
         let mut attempt = 0;
         while let Some(to) = server {
             sent[to.0 as usize] += 1;
             let (outcome, ms) = answer(to);
             rig.wait(Span::from_ms(ms));
-            rig.answer(id, attempt, outcome, ms);
+            rig.respond(id, attempt, outcome, ms);
             server = rig.sent_to(id);
             attempt += 1;
         }
         rig.wait(Span::from_ms(5.0));
     }
-    rig.assert_rules();
+    rig.assert_invariants();
     sent
 }
 
 #[test]
-fn quick_errors_do_not_draw_traffic() {
+fn fast_errors_do_not_attract_traffic() {
     for bad in [Outcome::ServerError, Outcome::ConnectFailed, Outcome::ConnectionReset] {
         let mut rig = Rig::new(settings(Idempotency::Idempotent), 11);
-        rig.list(fleet(5, 1, 1));
+        rig.set_endpoints(fleet(5, 1, 1));
         let sick = ServerId(2);
         let sent = serve(&mut rig, 5, 400, |s| if s == sick { (bad, 0.2) } else { (Outcome::Success, 30.0) });
         assert!(sent[2] <= 12, "{bad:?}: {sent:?}, of them trials only");
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn a_much_slower_server_is_left_and_taken_back() {
+fn a_much_slower_server_is_ejected_and_restored() {
     let mut rig = Rig::new(settings(Idempotency::Idempotent), 11);
-    rig.list(fleet(5, 1, 1));
+    rig.set_endpoints(fleet(5, 1, 1));
     let sent = serve(&mut rig, 5, 300, |s| (Outcome::Success, if s.0 == 2 { 300.0 } else { 30.0 }));
     assert!(sent[2] < 20, "{sent:?}");
     let well = serve(&mut rig, 5, 600, |_| (Outcome::Success, 30.0));
@@ -54,43 +54,43 @@
 #[test]
 fn a_fleet_that_is_slow_together_keeps_all_its_servers() {
     let mut rig = Rig::new(settings(Idempotency::Idempotent), 11);
-    rig.list(fleet(5, 1, 1));
+    rig.set_endpoints(fleet(5, 1, 1));
     serve(&mut rig, 5, 100, |_| (Outcome::Success, 30.0));
     let sent = serve(&mut rig, 5, 300, |_| (Outcome::Success, 110.0));
     assert!(sent.iter().all(|n| *n > 20), "{sent:?}");
 }
 
 #[test]
-fn a_silent_server_is_left_and_its_repeatable_request_called_back() {
+fn an_unresponsive_server_is_ejected_and_its_idempotent_request_is_cancelled() {
     let mut rig = Rig::new(settings(Idempotency::Idempotent), 5);
-    rig.list(fleet(4, 1, 1));
+    rig.set_endpoints(fleet(4, 1, 1));
     serve(&mut rig, 4, 40, |_| (Outcome::Success, 20.0));
     // Two requests on one server, none on the others: only there nothing comes back.
-    let asked: Vec<_> = (0..8).map(|_| rig.ask(0)).filter_map(|(id, s)| s.map(|s| (id, s))).collect();
+    let asked: Vec<_> = (0..8).map(|_| rig.request(0)).filter_map(|(id, s)| s.map(|s| (id, s))).collect();
     let hung = asked.iter().map(|a| a.1).find(|s| asked.iter().filter(|a| a.1 == *s).count() > 1).unwrap();
     for (id, server) in &asked {
         if *server != hung {
-            rig.answer(*id, 0, Outcome::Success, 20.0);
+            rig.respond(*id, 0, Outcome::Success, 20.0);
         }
     }
     let actions = rig.wait(Span::from_ms(150.0));
     for &(id, _) in asked.iter().filter(|a| a.1 == hung) {
         assert!(actions.contains(&Action::Cancel { request: id, attempt: AttemptNo(0) }), "{actions:?}");
-        rig.answer(id, 0, Outcome::Cancelled, 150.0);
+        rig.respond(id, 0, Outcome::Cancelled, 150.0);
         assert!(rig.sent_to(id).is_some_and(|s| s != hung));
-        rig.answer(id, 1, Outcome::Success, 20.0);
+        rig.respond(id, 1, Outcome::Success, 20.0);
     }
     let after = serve(&mut rig, 4, 6, |_| (Outcome::Success, 20.0));
     assert_eq!(after[hung.0 as usize], 0, "not before its first trial");
 }
 
-/// On quiet days costly requests made healthy servers suspect, each a second time in vain.
+/// On quiet days costly requests ejected healthy servers, each a second time in vain.
 #[test]
-fn a_costly_request_alone_on_its_server_is_no_hang_before_its_aim() {
+fn a_costly_request_alone_on_its_server_is_not_overdue_before_its_latency_objective() {
     let mut rig = Rig::new(settings(Idempotency::Idempotent), 5);
-    rig.list(fleet(4, 1, 1));
+    rig.set_endpoints(fleet(4, 1, 1));
     serve(&mut rig, 4, 40, |_| (Outcome::Success, 20.0));
-    assert!(rig.ask(0).1.is_some());
+    assert!(rig.request(0).1.is_some());
     let seen =
         |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. } | Action::Log { .. }));
     assert!(!seen(&rig.wait(Span::from_ms(195.0))));
@@ -98,21 +98,21 @@
 }
 
 #[test]
-fn what_must_not_repeat_is_not_called_back() {
+fn a_request_that_must_not_be_retried_is_not_cancelled() {
     let mut rig = Rig::new(settings(Idempotency::AtMostOnce), 5);
-    rig.list(fleet(4, 1, 1));
-    let (id, _) = rig.ask(0);
+    rig.set_endpoints(fleet(4, 1, 1));
+    let (id, _) = rig.request(0);
     let actions = rig.wait(Span::from_ms(790.0));
     assert!(!actions.iter().any(|a| matches!(a, Action::Cancel { .. })), "{actions:?}");
-    rig.answer(id, 0, Outcome::TimedOut, 800.0);
-    rig.assert_rules();
+    rig.respond(id, 0, Outcome::TimedOut, 800.0);
+    rig.assert_invariants();
 }
 
-/// Without a safe class nothing would ever try a suspect, so others must after a while.
+/// Without a idempotent class nothing would ever try an ejected server, so others must after a while.
 #[test]
-fn a_site_without_safe_classes_takes_servers_back() {
+fn a_site_without_idempotent_classes_restores_ejected_servers() {
     let mut rig = Rig::new(settings(Idempotency::AtMostOnce), 11);
-    rig.list(fleet(3, 1, 1));
+    rig.set_endpoints(fleet(3, 1, 1));
     serve(&mut rig, 3, 100, |s| match s.0 {
         1 => (Outcome::ServerError, 0.2),
         _ => (Outcome::Success, 20.0),
@@ -122,9 +122,9 @@
 }
 
 #[test]
-fn most_of_the_fleet_out_of_reach_leaves_the_rest_in_use() {
+fn an_unreachable_majority_of_the_fleet_leaves_the_rest_in_use() {
     let mut rig = Rig::new(settings(Idempotency::Idempotent), 11);
-    rig.list(fleet(8, 1, 1));
+    rig.set_endpoints(fleet(8, 1, 1));
     let cut = |s: ServerId| if s.0 < 6 { (Outcome::ConnectFailed, 100.0) } else { (Outcome::Success, 20.0) };
     serve(&mut rig, 8, 60, cut);
     let sent = serve(&mut rig, 8, 100, cut);
@@ -135,50 +135,50 @@
 #[test]
 fn a_whole_fleet_that_fails_is_still_tried() {
     let mut rig = Rig::new(settings(Idempotency::Idempotent), 11);
-    rig.list(fleet(4, 1, 1));
+    rig.set_endpoints(fleet(4, 1, 1));
     serve(&mut rig, 4, 40, |_| (Outcome::ServerError, 1.0));
     let sent = serve(&mut rig, 4, 40, |_| (Outcome::Success, 20.0));
     assert!(sent.iter().sum::<u32>() >= 40, "{sent:?}");
 }
 
 /// Where every seventh answer of the whole fleet is an error, two in a row are chance: once most of a healthy fleet
-/// was suspect then. A server that gives nothing but errors still is.
+/// was ejected then. A server that gives nothing but errors still is.
 #[test]
-fn errors_of_the_whole_fleet_make_no_server_suspect() {
+fn errors_of_the_whole_fleet_eject_no_server() {
     let mut rig =
         Rig::new(Settings { classes: vec![class(Idempotency::AtMostOnce)], ..Settings::default() }, 5);
-    rig.list(fleet(12, 1, 1));
+    rig.set_endpoints(fleet(12, 1, 1));
     let mut dice = fastrand::Rng::with_seed(9);
     let mut suspects = [0; 12];
     for _ in 0..3000 {
-        let (id, Some(server)) = rig.ask(0) else { continue };
+        let (id, Some(server)) = rig.request(0) else { continue };
         rig.wait(Span::from_ms(20.0));
         let ill = server == ServerId(0) || dice.u32(0..7) == 0;
         let outcome = if ill { Outcome::ServerError } else { Outcome::Success };
-        for action in rig.answer(id, 0, outcome, 20.0).to_vec() {
+        for action in rig.respond(id, 0, outcome, 20.0).to_vec() {
             if matches!(action, Action::Log { text, .. } if text.contains("failing")) {
                 suspects[server.0 as usize] += 1;
             }
         }
     }
-    assert!(suspects[0] > 0, "the ill one: {suspects:?}");
+    assert!(suspects[0] > 0, "the failing one: {suspects:?}");
     assert!(suspects[1..].iter().sum::<u32>() < 10, "the others: {suspects:?}");
 }
 
-/// An answer that has begun is told as a success; one that breaks off later must count against its server.
+/// An answer that has begun is reported as a success; one that breaks off later must count against its server.
 #[test]
-fn a_server_whose_answers_break_off_is_left() {
+fn a_server_that_aborts_its_responses_is_ejected() {
     let mut rig = Rig::new(settings(Idempotency::Idempotent), 11);
-    rig.list(fleet(5, 1, 1));
+    rig.set_endpoints(fleet(5, 1, 1));
     let sick = ServerId(2);
     let mut sent = 0;
     for _ in 0..200 {
-        if rig.ask_and_answer(10.0) == Some(sick) {
+        if rig.request_and_respond(10.0) == Some(sick) {
             sent += 1;
-            rig.tell(Event::ResponseAborted { server: sick });
+            rig.notify(Event::ResponseAborted { server: sick });
         }
     }
     assert!((1..=12).contains(&sent), "{sent} of 200, of them trials only");
-    rig.tell(Event::ResponseAborted { server: ServerId(99) });
-    rig.assert_rules();
+    rig.notify(Event::ResponseAborted { server: ServerId(99) });
+    rig.assert_invariants();
 }
--- a/tests/crowd_at_discovery.rs
+++ b/tests/polling.rs
@@ -23,7 +23,7 @@
 
 /// All ended in a release and started again: their calls at one time left none of them served for ten seconds.
 #[test]
-fn balancers_that_start_together_do_not_ask_together() {
+fn balancers_that_start_together_do_not_poll_together() {
     let mut rigs = rigs();
     let max_concurrent_requests: usize = rigs.iter().map(|rig| calls(&rig.actions)).sum();
     assert!(max_concurrent_requests <= 5, "{max_concurrent_requests} calls at the start");
@@ -37,13 +37,13 @@
 }
 
 /// A service that refuses all is not asked in bunches, and each balancer asks again early enough to hear what it has within
-/// the 6 s after which that counts as told, a second for the call included.
+/// the 6 s after which that counts as received, a second for the call included.
 #[test]
-fn balancers_whose_calls_fail_together_do_not_ask_again_together() {
+fn balancers_whose_polls_fail_together_do_not_retry_together() {
     let mut rigs = rigs();
     let mut failed: Vec<Option<Time>> = vec![None; rigs.len()];
     for (rig, failed) in rigs.iter_mut().zip(&mut failed).filter(|(rig, _)| calls(&rig.actions) > 0) {
-        rig.tell(Event::Endpoints(EndpointUpdate::Failed));
+        rig.notify(Event::Endpoints(EndpointUpdate::Failed));
         *failed = Some(rig.now);
     }
     let slice = Span::from_ms(500.0);
@@ -54,11 +54,14 @@
             let asked = calls(&rig.wait(slice));
             all += asked;
             if asked > 0 {
-                rig.tell(Event::Endpoints(EndpointUpdate::Failed));
+                rig.notify(Event::Endpoints(EndpointUpdate::Failed));
                 *failed = Some(rig.now);
             }
-            let silent = failed.map_or(Span::ZERO, |at| rig.now.since(at));
-            assert!(silent < Span::from_ms(5600.0), "it has not asked for {silent:?}, a slice included");
+            let unresponsive = failed.map_or(Span::ZERO, |at| rig.now.since(at));
+            assert!(
+                unresponsive < Span::from_ms(5600.0),
+                "it has not asked for {unresponsive:?}, a slice included"
+            );
         }
         counts.push(all);
     }
@@ -70,7 +73,7 @@
 
 /// A few balancers are no crowd.
 #[test]
-fn a_small_fleet_asks_at_once() {
+fn a_few_balancers_poll_at_once() {
     let settings = Settings {
         balancers: 5,
         discovery: Discovery::Polled,
@@ -80,29 +83,29 @@
     assert_eq!(calls(&Rig::new(settings, 1).actions), 1);
 }
 
-/// Pushed news lie beside each balancer and count as told at once, so a watch that broke is opened anew within the time in
+/// Pushed updates lie beside each balancer and count as received at once, so a watch that broke is opened anew within the time in
 /// which a server that drains must be left, after each failure and however many balancers there are.
 #[test]
-fn a_broken_watch_for_pushed_news_is_opened_anew_at_once() {
+fn a_broken_watch_for_pushed_updates_is_reopened_at_once() {
     let settings =
         Settings { balancers: 300, classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut rig = Rig::new(settings, 2);
     for _ in 0..20 {
-        rig.tell(Event::Endpoints(EndpointUpdate::Failed));
+        rig.notify(Event::Endpoints(EndpointUpdate::Failed));
         assert_eq!(calls(&rig.wait(Span::from_ms(390.0))), 1);
     }
 }
 
-/// An answer that was of no use is asked for in pauses that double up to what the site asks, also where news are pushed, and
+/// An answer that was of no use is asked for in pauses that double up to what the site asks, also where updates are pushed, and
 /// entries of an answer that then comes to nothing do not shorten them. One that ends as it should does.
 #[test]
-fn answers_of_no_use_are_asked_for_less_and_less() {
+fn unusable_responses_are_polled_less_and_less() {
     let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let most = settings.max_poll_interval;
     let mut rig = Rig::new(settings, 3);
     let pause = |rig: &mut Rig| {
-        rig.tell(Event::Endpoints(EndpointUpdate::Partial(vec![Endpoint::serving(ServerId(1))])));
-        rig.tell(Event::Endpoints(EndpointUpdate::Unusable));
+        rig.notify(Event::Endpoints(EndpointUpdate::Partial(vec![Endpoint::serving(ServerId(1))])));
+        rig.notify(Event::Endpoints(EndpointUpdate::Unusable));
         let (from, tick) = (rig.now, Span::from_ms(50.0));
         while calls(&rig.wait(tick)) == 0 {
             assert!(rig.now.since(from) <= most * 2.0, "it is never asked again");
@@ -115,6 +118,6 @@
         let mean = (200.0 * 2f64.powi(doubled as i32)).min(most.as_ms());
         assert!((0.5 * mean..=1.5 * mean + 100.0).contains(is), "pause {doubled} of {pauses:?}");
     }
-    rig.tell(Event::Endpoints(EndpointUpdate::Changes(Vec::new())));
+    rig.notify(Event::Endpoints(EndpointUpdate::Changes(Vec::new())));
     assert!(pause(&mut rig) <= 400.0, "the pauses begin anew");
 }
--- a/tests/random_walk.rs
+++ b/tests/random_walk.rs
@@ -10,9 +10,9 @@
         classes: vec![
             class(Idempotency::Idempotent),
             class(Idempotency::AtMostOnce),
-            class(keyed(DeduplicationScope::All, 300.0)),
-            class(keyed(DeduplicationScope::Zone, 200.0)),
-            class(keyed(DeduplicationScope::Cell, 600.0)),
+            class(deduplicated(DeduplicationScope::All, 300.0)),
+            class(deduplicated(DeduplicationScope::Zone, 200.0)),
+            class(deduplicated(DeduplicationScope::Cell, 600.0)),
             Class { late_weight: 0.3, stream: true, ..class(Idempotency::Idempotent) },
         ],
         hedging: pick % 2 == 0,
@@ -46,7 +46,7 @@
     let mut out: Vec<Out> = Vec::new();
     let mut attempts: BTreeMap<RequestId, u32> = BTreeMap::new();
     let mut said = Vec::new();
-    rig.tell(Event::Endpoints(EndpointUpdate::Saved(lines.clone())));
+    rig.notify(Event::Endpoints(EndpointUpdate::Saved(lines.clone())));
     for step in 0..steps {
         let mut actions = Vec::new();
         match rng.u32(0..100) {
@@ -56,7 +56,7 @@
                 let mut request = Request::new(RequestId(u64::from(step)), ClassId(class), left);
                 request.key = rng.bool().then(|| KeyId(rng.u64(0..5)));
                 request.cost_hint = rng.bool().then(|| Span::from_ms(rng.f64() * 80.0));
-                actions.extend_from_slice(rig.tell(Event::Request(request)));
+                actions.extend_from_slice(rig.notify(Event::Request(request)));
             }
             40..=79 if !out.is_empty() => {
                 let o = out.swap_remove(rng.usize(0..out.len()));
@@ -72,7 +72,7 @@
                 let report =
                     rng.bool().then(|| vec![rng.f64() * 9.0, [f64::NAN, -4.0, 30.0][rng.usize(0..3)]]);
                 let closed = outcome == Outcome::Success || o.streaming;
-                actions.extend_from_slice(rig.tell(Event::Outcome {
+                actions.extend_from_slice(rig.notify(Event::Outcome {
                     request: o.request,
                     attempt: AttemptNo(o.attempt),
                     outcome,
@@ -86,11 +86,11 @@
                 let o = &mut out[i];
                 o.streaming = true;
                 let event = Event::FirstByte { request: o.request, attempt: AttemptNo(o.attempt) };
-                actions.extend_from_slice(rig.tell(event));
+                actions.extend_from_slice(rig.notify(event));
             }
             84..=86 => {
                 let request = RequestId(u64::from(rng.u32(0..step + 1)));
-                actions.extend_from_slice(rig.tell(Event::ClientDisconnected { request }));
+                actions.extend_from_slice(rig.notify(Event::ClientDisconnected { request }));
             }
             87..=90 => {
                 let i = rng.usize(0..lines.len());
@@ -104,14 +104,14 @@
                     1 => EndpointUpdate::Complete(lines.clone()),
                     _ => EndpointUpdate::Changes(vec![lines[i].clone()]),
                 };
-                actions.extend_from_slice(rig.tell(Event::Endpoints(update)));
+                actions.extend_from_slice(rig.notify(Event::Endpoints(update)));
             }
             _ => actions = rig.wait(Span::from_ms(rng.f64() * 15.0)),
         }
         // What has run past its deadline comes back as the caller's network would bring it.
         while let Some(i) = out.iter().position(|o| rig.now >= o.deadline && !o.streaming) {
             let o = out.swap_remove(i);
-            actions.extend_from_slice(rig.answer(o.request, o.attempt, Outcome::TimedOut, 800.0));
+            actions.extend_from_slice(rig.respond(o.request, o.attempt, Outcome::TimedOut, 800.0));
         }
         for action in &actions {
             match action {
@@ -137,11 +137,11 @@
 }
 
 #[test]
-fn the_rules_hold_on_random_walks() {
+fn the_invariants_hold_on_random_walks() {
     for pick in 0..120 {
         let (rig, said) = walk(pick, 1500);
-        assert!(rig.observer.faults.is_empty(), "walk {pick}: {:#?}", rig.observer.faults);
-        assert_eq!(rig.observer.lost(rig.now), 0, "walk {pick}");
+        assert!(rig.checker.violations.is_empty(), "walk {pick}: {:#?}", rig.checker.violations);
+        assert_eq!(rig.checker.overdue_answers(rig.now), 0, "walk {pick}");
         let sends = said.iter().filter(|s| s.contains("Send")).count();
         assert!(sends > 50, "walk {pick} sent only {sends} times and so shows little");
     }
@@ -158,8 +158,8 @@
 fn seeds_matter() {
     let with = |seed| {
         let mut rig = Rig::new(settings(2), seed);
-        rig.list(fleet(9, 3, 3));
-        (0..20).map(|_| rig.ask(0).1).collect::<Vec<_>>()
+        rig.set_endpoints(fleet(9, 3, 3));
+        (0..20).map(|_| rig.request(0).1).collect::<Vec<_>>()
     };
     assert_ne!(with(1), with(2));
 }
@@ -168,17 +168,17 @@
 #[test]
 fn interleaved_balancers_act_as_if_apart() {
     let step = |rig: &mut Rig, i: u32| {
-        let (id, sent) = rig.ask((i % 3) as usize);
+        let (id, sent) = rig.request((i % 3) as usize);
         let mut actions = rig.actions.clone();
         actions.extend(rig.wait(Span::from_ms(3.0)));
         if sent.is_some() && i % 4 != 0 {
-            actions.extend_from_slice(rig.answer(id, 0, Outcome::Success, 3.0));
+            actions.extend_from_slice(rig.respond(id, 0, Outcome::Success, 3.0));
         }
         actions
     };
     let start = |seed| {
         let mut rig = Rig::new(settings(seed), seed);
-        rig.list(fleet(7, 3, 3));
+        rig.set_endpoints(fleet(7, 3, 3));
         rig
     };
     let alone = |seed| {
--- a/tests/gone_servers_are_forgotten.rs
+++ b/tests/removed_servers_are_forgotten.rs
@@ -3,14 +3,14 @@
 use balancer::*;
 use common::*;
 
-/// Resident memory of this process in KiB; `None` where the system does not tell.
+/// Resident memory of this process in KiB; `None` where the system does not say.
 fn resident() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
     text.lines().find(|l| l.starts_with("VmRSS"))?.split_whitespace().nth(1)?.parse().ok()
 }
 
 #[test]
-fn a_fleet_that_is_replaced_again_and_again_leaves_nothing_behind() {
+fn a_fleet_that_is_replaced_repeatedly_leaves_no_memory_in_use() {
     const SERVERS: u32 = 500;
     let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut balancer = Balancer::new(settings, 1).expect("usable settings");
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -29,9 +29,9 @@
     assert_eq!(with(|_| ()), None);
 }
 
-/// No reports, keys, tenants, probes, cancels or advice, and no goal to speak of: requests are served all the same.
+/// No reports, keys, tenants, health checks, cancels or advice, and no goal to speak of: requests are served all the same.
 #[test]
-fn the_plain_path_needs_nothing_but_a_class() {
+fn a_class_is_all_that_settings_need() {
     let settings = Settings {
         classes: vec![class(Idempotency::Idempotent)],
         cancel: false,
@@ -40,23 +40,23 @@
         ..Settings::default()
     };
     let mut rig = Rig::new(settings, 1);
-    rig.list(fleet(3, 1, 1));
+    rig.set_endpoints(fleet(3, 1, 1));
     for _ in 0..100 {
-        let (id, sent) = rig.ask(0);
+        let (id, sent) = rig.request(0);
         assert!(sent.is_some());
         rig.wait(Span::from_ms(10.0));
-        rig.answer_with(id, 0, Outcome::Success, 10.0, Some(vec![f64::NAN, -1.0, 1e300]));
+        rig.respond_with(id, 0, Outcome::Success, 10.0, Some(vec![f64::NAN, -1.0, 1e300]));
     }
-    rig.assert_rules();
+    rig.assert_invariants();
 }
 
 #[test]
-fn a_request_of_an_unknown_class_is_refused() {
+fn a_request_of_an_unknown_class_is_rejected() {
     let mut rig = Rig::new(Settings::default(), 1);
-    rig.list(fleet(3, 1, 1));
+    rig.set_endpoints(fleet(3, 1, 1));
     let request = Request::new(RequestId(5), ClassId(9), Span::from_ms(100.0));
     let mut actions = Vec::new();
     rig.balancer.handle(rig.now, Event::Request(request), &mut actions);
-    assert!(refused(&actions, RequestId(5)));
+    assert!(rejected(&actions, RequestId(5)));
     assert!(!actions.iter().any(|a| matches!(a, Action::Send { .. })));
 }
--- a/tests/takes_over.rs
+++ b/tests/snapshot.rs
@@ -7,53 +7,53 @@
 fn rig(seed: u64) -> Rig {
     let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut rig = Rig::new(settings, seed);
-    rig.list(fleet(4, 1, 1));
+    rig.set_endpoints(fleet(4, 1, 1));
     rig
 }
 
 /// Requests that are sent at once and stay out, of a hundred.
 fn burst(rig: &mut Rig) -> usize {
-    (0..100).filter(|_| rig.ask(0).1.is_some()).count()
+    (0..100).filter(|_| rig.request(0).1.is_some()).count()
 }
 
 fn taught() -> Snapshot {
     let mut rig = rig(3);
     for _ in 0..60 {
         let ids: Vec<_> =
-            (0..12).filter_map(|_| Some(rig.ask(0)).filter(|(_, sent)| sent.is_some())).collect();
+            (0..12).filter_map(|_| Some(rig.request(0)).filter(|(_, sent)| sent.is_some())).collect();
         rig.wait(Span::from_ms(20.0));
         for (id, _) in ids {
-            rig.answer(id, 0, Outcome::Success, 20.0);
+            rig.respond(id, 0, Outcome::Success, 20.0);
         }
     }
     rig.balancer.snapshot(rig.now)
 }
 
 #[test]
-fn a_balancer_goes_on_from_what_another_has_learned() {
+fn a_balancer_continues_from_a_snapshot_of_another() {
     let fresh = burst(&mut rig(4));
     let mut next = rig(4);
-    next.tell(Event::Restore(taught()));
+    next.notify(Event::Restore(taught()));
     let taught = burst(&mut next);
-    assert!(taught > fresh + 4, "{taught} at once, {fresh} without lessons");
-    next.assert_rules();
+    assert!(taught > fresh + 4, "{taught} at once, {fresh} without a snapshot");
+    next.assert_invariants();
 }
 
 #[test]
-fn a_new_process_and_a_suspect_server_are_told_apart() {
+fn a_restarted_and_an_ejected_server_are_restored_differently() {
     let mut lessons = taught();
     let limit = |rig: &Rig| rig.balancer.snapshot(rig.now).servers[1].limit;
     let mut next = rig(4);
     let before = limit(&next);
     lessons.servers[1].started = Some(Time(5));
     lessons.servers[2].suspect = true;
-    next.tell(Event::Restore(lessons));
+    next.notify(Event::Restore(lessons));
     assert_eq!(limit(&next), before, "it was another process");
     assert_eq!(next.balancer.endpoint_counts(next.now).avoided, 1);
 }
 
 #[test]
-fn nonsense_is_left_out() {
+fn implausible_values_are_not_restored() {
     for odd in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300] {
         let mut lessons = taught();
         (lessons.level, lessons.median, lessons.warm_sent) = (odd, odd, odd);
@@ -63,26 +63,26 @@
         }
         lessons.servers[0].server = ServerId(99);
         let mut next = rig(4);
-        next.tell(Event::Restore(lessons));
+        next.notify(Event::Restore(lessons));
         for _ in 0..50 {
-            assert!(next.ask_and_answer(20.0).is_some(), "{odd}");
+            assert!(next.request_and_respond(20.0).is_some(), "{odd}");
         }
-        next.assert_rules();
+        next.assert_invariants();
     }
 }
 
 /// What is left for the next one is bounded however many servers there are, and it is of those that were met last.
 #[test]
-fn word_is_left_of_the_servers_that_were_met_last() {
+fn a_snapshot_has_the_servers_that_responded_last() {
     let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut rig = Rig::new(settings, 5);
-    rig.list(fleet(5000, 5, 5));
+    rig.set_endpoints(fleet(5000, 5, 5));
     let mut met = Vec::new();
     while met.len() < 2000 {
-        let (id, sent) = rig.ask(0);
+        let (id, sent) = rig.request(0);
         met.extend(sent);
         rig.wait(Span::from_ms(1.0));
-        rig.answer(id, 0, Outcome::Success, 1.0);
+        rig.respond(id, 0, Outcome::Success, 1.0);
     }
     let told = rig.balancer.snapshot(rig.now).servers;
     assert_eq!(told.len(), 1024);
--- a/tests/blind.rs
+++ b/tests/sparse_traffic.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use balancer::*;
-use common::{class, fleet, refused, Rig};
+use common::{class, fleet, rejected, Rig};
 
-const AIM_MS: f64 = 200.0;
+const OBJECTIVE_MS: f64 = 200.0;
 
 fn settings() -> Settings {
     Settings { balancers: 1000, classes: vec![class(Idempotency::Idempotent)], ..Settings::default() }
@@ -15,12 +15,12 @@
 fn serve(rig: &mut Rig, n: usize, count: u32, ms: f64, ending: impl Fn(ServerId) -> Outcome) -> Vec<u32> {
     let mut sent = vec![0; n];
     for _ in 0..count {
-        let (id, mut to) = rig.ask(0);
+        let (id, mut to) = rig.request(0);
         let mut attempt = 0;
         while let Some(server) = to {
             sent[server.0 as usize] += 1;
             rig.wait(Span::from_ms(ms));
-            rig.answer(id, attempt, ending(server), ms);
+            rig.respond(id, attempt, ending(server), ms);
             attempt += 1;
             to = rig.sent_to(id);
         }
@@ -33,32 +33,32 @@
     Outcome::Success
 }
 
-/// A fair coin sent machines of half the size as much as the others, and they jammed first.
+/// A fair draw sent machines of half the size as much as the others, and they were overloaded first.
 #[test]
 fn load_goes_by_listed_size() {
     let mut rig = Rig::new(Settings { weights: Weights::Size, ..settings() }, 1);
     let sized = |l: Endpoint| Endpoint { weight: if l.server.0 < 10 { 3.0 } else { 1.0 }, ..l };
-    rig.list(fleet(20, 1, 1).into_iter().map(sized).collect());
+    rig.set_endpoints(fleet(20, 1, 1).into_iter().map(sized).collect());
     let sent = serve(&mut rig, 20, 3000, 20.0, all_well);
     let (large, small) = (sent[..10].iter().sum::<u32>(), sent[10..].iter().sum::<u32>());
     let ratio = f64::from(large) / f64::from(small);
     assert!((2.3..3.7).contains(&ratio), "large machines were sent {ratio:.2} times as much");
 }
 
-/// Machines of one listed size and different speed: the kind's answers tell them apart before single servers can.
+/// Machines of one listed size and different speed: the machine type's responses tell them apart before single servers can.
 #[test]
-fn load_goes_by_the_pace_of_a_kind() {
+fn load_goes_by_the_latency_of_a_machine_type() {
     let mut rig = Rig::new(settings(), 2);
     let lines = fleet(100, 1, 1).into_iter().map(|l| Endpoint { kind: KindId(l.server.0 % 2), ..l });
-    rig.list(lines.collect());
+    rig.set_endpoints(lines.collect());
     let mut sent = [0, 0];
     for _ in 0..600 {
-        let (id, to) = rig.ask(0);
+        let (id, to) = rig.request(0);
         let kind = (to.expect("sent").0 % 2) as usize;
         sent[kind] += 1;
         let ms = [30.0, 90.0][kind];
         rig.wait(Span::from_ms(ms));
-        rig.answer(id, 0, Outcome::Success, ms);
+        rig.respond(id, 0, Outcome::Success, ms);
     }
     assert!(sent[0] > 2 * sent[1], "the kind that is three times as fast was sent {sent:?}");
     assert!(sent[1] > 5, "the slow kind is not shut out: {sent:?}");
@@ -68,15 +68,15 @@
 #[test]
 fn only_the_remembered_server_keeps_its_connections() {
     let mut rig = Rig::new(settings(), 3);
-    rig.list(fleet(20, 1, 1));
+    rig.set_endpoints(fleet(20, 1, 1));
     let mut kept = std::collections::BTreeSet::new();
     let mut last = None;
     for _ in 0..200 {
-        let (id, to) = rig.ask(0);
+        let (id, to) = rig.request(0);
         let to = to.expect("sent");
         kept.insert(to);
         rig.wait(Span::from_ms(20.0));
-        let actions = rig.answer(id, 0, Outcome::Success, 20.0).to_vec();
+        let actions = rig.respond(id, 0, Outcome::Success, 20.0).to_vec();
         // What was remembered before is let go of with its next answer, so at most a few are open.
         for action in actions {
             if let Action::CloseIdleConnections { server } = action {
@@ -94,7 +94,7 @@
     let mut idle = std::collections::BTreeMap::new();
     let (mut fresh, mut near) = (0, 0);
     for _ in 0..rounds {
-        let sent: Vec<_> = (0..3).map(|_| rig.ask(0)).collect();
+        let sent: Vec<_> = (0..3).map(|_| rig.request(0)).collect();
         for (_, to) in &sent {
             let to = to.expect("sent");
             let since = idle.remove(&to).filter(|at| rig.now.since(*at) < Span::from_ms(5000.0));
@@ -104,7 +104,7 @@
         for (id, to) in sent {
             rig.wait(Span::from_ms(20.0));
             idle.insert(to.expect("sent"), rig.now);
-            for action in rig.answer(id, 0, Outcome::Success, 20.0) {
+            for action in rig.respond(id, 0, Outcome::Success, 20.0) {
                 if let Action::CloseIdleConnections { server } = action {
                     idle.remove(server);
                 }
@@ -117,43 +117,43 @@
 
 /// Each attempt had a fresh connection: a tenth of the servers' work, and round trips before the first byte.
 #[test]
-fn connections_are_kept_and_used_again_where_handshakes_are_priced() {
+fn connections_are_reused_where_handshakes_have_a_price() {
     let prices = Prices { handshake: 0.08, ..Prices::default() };
     let mut rig = Rig::new(Settings { prices, ..settings() }, 5);
-    rig.list(fleet(60, 4, 1));
+    rig.set_endpoints(fleet(60, 4, 1));
     let (fresh, _) = fresh_and_near(&mut rig, 200);
     assert!(fresh < 240, "{fresh} of 600 needed a fresh connection");
 }
 
 /// Three of four attempts crossed zones, for a price and round trips; yet a zone must not be all that is used.
 #[test]
-fn the_coin_leans_to_the_own_zone_where_crossing_is_priced() {
+fn the_own_zone_is_preferred_where_crossing_has_a_price() {
     let prices = Prices { handshake: 0.08, cross_zone: 0.12, ..Prices::default() };
     let mut rig = Rig::new(Settings { prices, ..settings() }, 5);
-    rig.list(fleet(60, 4, 1));
+    rig.set_endpoints(fleet(60, 4, 1));
     let (_, near) = fresh_and_near(&mut rig, 200);
     assert!((300..=540).contains(&near), "{near} of 600 stayed in the zone");
 }
 
-/// A jam of the whole fleet never ended: limits per server bind nothing at one visit in many seconds.
+/// An overload of the whole fleet never ended: limits per server bind nothing at one visit in many seconds.
 #[test]
-fn a_jam_of_the_fleet_lets_little_in_and_its_end_is_seen() {
+fn an_overloaded_fleet_is_sent_little_and_the_end_of_the_overload_is_noticed() {
     let mut rig = Rig::new(settings(), 4);
-    rig.list(fleet(50, 1, 1));
-    serve(&mut rig, 50, 60, 2.0 * AIM_MS, |_| Outcome::TimedOut);
-    let sent = (0..200).filter(|_| rig.ask(0).1.is_some()).count();
-    assert!((1..40).contains(&sent), "{sent} of 200 sent into a jam");
+    rig.set_endpoints(fleet(50, 1, 1));
+    serve(&mut rig, 50, 60, 2.0 * OBJECTIVE_MS, |_| Outcome::TimedOut);
+    let sent = (0..200).filter(|_| rig.request(0).1.is_some()).count();
+    assert!((1..40).contains(&sent), "{sent} of 200 sent into an overload");
     rig.wait(Span::from_ms(1000.0));
     for _ in 0..1000 {
-        let (id, to) = rig.ask(0);
+        let (id, to) = rig.request(0);
         if to.is_some() {
             rig.wait(Span::from_ms(20.0));
-            rig.answer(id, 0, Outcome::Success, 20.0);
+            rig.respond(id, 0, Outcome::Success, 20.0);
         }
     }
     let refusals = (0..50).filter(|_| {
-        let (id, _) = rig.ask(0);
-        refused(&rig.actions, id)
+        let (id, _) = rig.request(0);
+        rejected(&rig.actions, id)
     });
     assert!(refusals.count() < 10, "it opens again");
 }
@@ -161,62 +161,67 @@
 /// Of 400 requests, each `nth` that is sent is answered late; how many of the last 200 were let in.
 fn let_in(nth: u32) -> u32 {
     let mut rig = Rig::new(settings(), 9);
-    rig.list(fleet(50, 1, 1));
+    rig.set_endpoints(fleet(50, 1, 1));
     let (mut sent, mut last) = (0, 0);
     for i in 0..400 {
-        let (id, to) = rig.ask(0);
+        let (id, to) = rig.request(0);
         if to.is_some() {
             sent += 1;
             last += u32::from(i >= 200);
             rig.wait(Span::from_ms(20.0));
-            rig.answer(id, 0, Outcome::Success, if sent % nth == 0 { 1.2 * AIM_MS } else { 0.2 * AIM_MS });
+            rig.respond(
+                id,
+                0,
+                Outcome::Success,
+                if sent % nth == 0 { 1.2 * OBJECTIVE_MS } else { 0.2 * OBJECTIVE_MS },
+            );
         }
     }
     last
 }
 
-/// A fifth of late answers left all balancers as they were: crowded servers turned slow, and the jam stayed to
-/// the end of the day. A few that are late by chance or by a bad server are no jam.
+/// A fifth of late responses left all balancers as they were: crowded servers turned slow, and the overload stayed to
+/// the end of the day. A few that are late by chance or by a bad server are no overload.
 #[test]
-fn many_late_answers_shut_a_blind_balancer_and_a_few_do_not() {
+fn with_sparse_traffic_many_late_responses_lower_admission_and_a_few_do_not() {
     let (many, few) = (let_in(5), let_in(30));
     assert!((20..140).contains(&many), "{many} of 200 let in while a fifth are late");
     assert!(few >= 190, "{few} of 200 let in while one in thirty is late");
 }
 
-/// A request turned away by a short queue is no sign of a jam: it goes elsewhere at once.
+/// A request turned away by a short queue is no sign of an overload: it goes elsewhere at once.
 #[test]
-fn single_rejections_refuse_nothing() {
+fn single_rejections_lower_no_admission() {
     let mut rig = Rig::new(settings(), 5);
-    rig.list(fleet(50, 1, 1));
+    rig.set_endpoints(fleet(50, 1, 1));
     serve(&mut rig, 50, 200, 20.0, |s| if s.0 < 10 { Outcome::Rejected } else { Outcome::Success });
-    let sent = (0..100).filter(|_| rig.ask(0).1.is_some()).count();
+    let sent = (0..100).filter(|_| rig.request(0).1.is_some()).count();
     assert!(sent > 90, "{sent} of 100 sent");
 }
 
-/// Each of many balancers lost a request to each silent server; now a few bytes tell the others.
+/// Each of many balancers lost a request to each unresponsive server; now a few bytes tell the others.
 #[test]
-fn hearsay_is_told_heeded_and_forgotten() {
+fn gossip_about_an_outlier_is_sent_followed_and_forgotten() {
     let settings = Settings { gossip: true, ..settings() };
     let mut teller = Rig::new(settings.clone(), 6);
-    teller.list(fleet(10, 1, 1));
-    let (id, to) = teller.ask(0);
+    teller.set_endpoints(fleet(10, 1, 1));
+    let (id, to) = teller.request(0);
     teller.wait(Span::from_ms(790.0));
-    let told = teller.answer(id, 0, Outcome::TimedOut, 790.0).to_vec();
+    let told = teller.respond(id, 0, Outcome::TimedOut, 790.0).to_vec();
     let tell = |a: &Action| match a {
         Action::Gossip { payload, .. } => Some(payload.clone()),
         _ => None,
     };
     let all: Vec<_> = told.iter().filter_map(tell).collect();
-    assert!(!all.is_empty() && all.len() <= 128, "{} peers told", all.len());
+    assert!(!all.is_empty() && all.len() <= 128, "{} peers notified", all.len());
     let server = to.expect("sent").0 as usize;
 
-    // A good answer of its own clears the doubt, so each of many fresh balancers shows its first few picks only.
+    // A good answer of its own ends the suspicion, so each of many fresh balancers shows its first few picks only.
     let first_picks = |wait_ms: f64| -> u32 {
         let picks = (0..60).map(|seed| {
             let mut rig = Rig::new(settings.clone(), seed);
-            rig.list(fleet(10, 1, 1));
-            rig.tell(Event::Gossip { from: PeerId(1), payload: all[0].clone() });
+            rig.set_endpoints(fleet(10, 1, 1));
+            rig.notify(Event::Gossip { from: PeerId(1), payload: all[0].clone() });
             rig.wait(Span::from_ms(wait_ms));
             serve(&mut rig, 10, 3, 20.0, all_well)[server]
         });
@@ -224,17 +229,17 @@
     };
     let (fresh, old) = (first_picks(0.0), first_picks(10_000.0));
     assert!(fresh <= 4, "{fresh} of 180 to a server that was spoken of");
-    assert!(old >= 10, "{old} of 180 once the news is old");
+    assert!(old >= 10, "{old} of 180 once the gossip is old");
 }
 
 #[test]
-fn a_peers_nonsense_changes_nothing() {
+fn gossip_that_makes_no_sense_changes_nothing() {
     let settings = Settings { gossip: true, ..settings() };
     let (mut plain, mut told) = (Rig::new(settings.clone(), 8), Rig::new(settings, 8));
-    plain.list(fleet(10, 1, 1));
-    told.list(fleet(10, 1, 1));
+    plain.set_endpoints(fleet(10, 1, 1));
+    told.set_endpoints(fleet(10, 1, 1));
     for payload in [vec![], vec![1], vec![0; 300], 77_u32.to_be_bytes().to_vec()] {
-        told.tell(Event::Gossip { from: PeerId(9), payload });
+        told.notify(Event::Gossip { from: PeerId(9), payload });
     }
     assert_eq!(serve(&mut plain, 10, 50, 20.0, all_well), serve(&mut told, 10, 50, 20.0, all_well));
 }
@@ -243,31 +248,31 @@
 #[test]
 fn a_cut_zone_is_left_after_two_failed_connects() {
     let mut rig = Rig::new(Settings { max_attempts: 1, ..settings() }, 9);
-    rig.list(fleet(60, 2, 1));
+    rig.set_endpoints(fleet(60, 2, 1));
     let cut = |s: ServerId| if s.0 % 2 == 1 { Outcome::ConnectFailed } else { Outcome::Success };
     let sent = serve(&mut rig, 60, 60, 20.0, cut);
     let far: u32 = sent.iter().skip(1).step_by(2).sum();
     assert!(far <= 10, "{far} of 60 sent over the cut link");
 }
 
-/// Every server of a zone that has no place for one more connection, and answers on those it has, is full: the
+/// Every server of a zone that has no place for one more connection, and responses on those it has, is full: the
 /// zone is no more left for it than a server is taken for dead.
 #[test]
-fn a_server_that_refuses_a_connection_and_answers_on_others_is_full() {
+fn a_server_that_refuses_a_connection_and_responds_on_others_is_full() {
     let mut rig = Rig::new(settings(), 14);
-    rig.list(fleet(5, 1, 1));
+    rig.set_endpoints(fleet(5, 1, 1));
     // Requests that overlap, so that each server holds a few.
-    let sent: Vec<_> = (0..40).map(|_| rig.ask(0)).collect();
+    let sent: Vec<_> = (0..40).map(|_| rig.request(0)).collect();
     let to = |server: u32| sent.iter().filter(move |(_, s)| *s == Some(ServerId(server))).map(|(id, _)| *id);
     for server in 0..2 {
         let mut ids = to(server);
-        rig.answer(ids.next().expect("sent"), 0, Outcome::Success, 20.0);
-        rig.answer(ids.next().expect("sent"), 0, Outcome::ConnectFailed, 1.0);
+        rig.respond(ids.next().expect("sent"), 0, Outcome::Success, 20.0);
+        rig.respond(ids.next().expect("sent"), 0, Outcome::ConnectFailed, 1.0);
     }
-    let rests = (0..20).filter(|_| rig.ask(0).1.is_some_and(|s| s.0 < 2)).count();
+    let rests = (0..20).filter(|_| rig.request(0).1.is_some_and(|s| s.0 < 2)).count();
     assert_eq!(rests, 0, "a full server rests first");
-    rig.wait(Span::from_ms(AIM_MS + 50.0));
-    let sent: Vec<_> = (0..100).filter_map(|_| rig.ask(0).1).collect();
+    rig.wait(Span::from_ms(OBJECTIVE_MS + 50.0));
+    let sent: Vec<_> = (0..100).filter_map(|_| rig.request(0).1).collect();
     let back = sent.iter().filter(|s| s.0 < 2).count();
     assert!(back * 4 >= sent.len(), "{back} of {} to the two that were full, after their rest", sent.len());
 }
@@ -292,19 +297,19 @@
 fn report(rig: &mut Rig, server: ServerId, held: f64) -> Option<ServerId> {
     let report = Some(vec![0.5, held]);
     let elapsed = Span::from_ms(1.0);
-    let actions = rig.tell(Event::HealthChecked { server, outcome: Outcome::Success, elapsed, report });
+    let actions = rig.notify(Event::HealthChecked { server, outcome: Outcome::Success, elapsed, report });
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
         _ => None,
     })
 }
 
-/// A third of the answers were late by chance alone, own counts being all zero.
+/// A third of the responses were late by chance alone, own counts being all zero.
 #[test]
-fn cheap_probes_tell_the_lightest_candidate() {
+fn cheap_health_checks_find_the_lightest_candidate() {
     let mut rig = Rig::new(asking(), 10);
-    rig.list(fleet(20, 1, 1));
-    let (_, sent) = rig.ask(0);
+    rig.set_endpoints(fleet(20, 1, 1));
+    let (_, sent) = rig.request(0);
     assert_eq!(sent, None, "it waits for its candidates");
     let candidates = probed(&rig);
     assert!(candidates.len() >= 2, "{candidates:?}");
@@ -314,25 +319,25 @@
         assert_eq!(sent.is_some(), i + 1 == candidates.len(), "sent with the last report");
     }
     assert_eq!(sent, Some(candidates[1]));
-    rig.assert_rules();
+    rig.assert_invariants();
 }
 
 #[test]
-fn a_candidate_that_does_not_tell_is_not_waited_for_and_not_chosen() {
+fn a_candidate_that_does_not_report_is_not_waited_for_and_not_selected() {
     let mut rig = Rig::new(asking(), 11);
-    rig.list(fleet(20, 1, 1));
-    let (id, _) = rig.ask(0);
+    rig.set_endpoints(fleet(20, 1, 1));
+    let (id, _) = rig.request(0);
     let candidates = probed(&rig);
     report(&mut rig, candidates[0], 3.0);
-    let actions = rig.wait(Span::from_ms(0.06 * AIM_MS));
+    let actions = rig.wait(Span::from_ms(0.06 * OBJECTIVE_MS));
     assert_eq!(common::sent_in(&actions, id), Some(candidates[0]));
-    let (id, _) = rig.ask(0);
-    let actions = rig.wait(Span::from_ms(0.06 * AIM_MS));
+    let (id, _) = rig.request(0);
+    let actions = rig.wait(Span::from_ms(0.06 * OBJECTIVE_MS));
     assert!(common::sent_in(&actions, id).is_some(), "with no report at all it is sent all the same");
 }
 
 #[test]
-fn dear_or_useless_probes_are_not_sent() {
+fn expensive_or_useless_health_checks_are_not_sent() {
     let dear = Prices { probe: 0.01, ..Prices::default() };
     for settings in [
         Settings { prices: dear, ..asking() },
@@ -341,54 +346,54 @@
         Settings { balancers: 10, ..asking() },
     ] {
         let mut rig = Rig::new(settings, 12);
-        rig.list(fleet(20, 1, 1));
-        assert!(rig.ask(0).1.is_some());
+        rig.set_endpoints(fleet(20, 1, 1));
+        assert!(rig.request(0).1.is_some());
         assert!(probed(&rig).is_empty());
     }
 }
 
-/// An empty cold server would win every pick it is asked in, at all balancers at once.
+/// An empty warming server would win every pick it is asked in, at all balancers at once.
 #[test]
-fn a_cold_server_is_not_drawn_to_by_its_emptiness() {
+fn an_idle_warming_server_does_not_attract_all_requests() {
     for settings in [settings(), asking()] {
         let mut rig = Rig::new(settings, 13);
         let mut lines = fleet(10, 1, 1);
         lines[9].started = Some(rig.now);
-        rig.list(lines);
+        rig.set_endpoints(lines);
         let (mut cold, mut all) = (0, 0);
         for _ in 0..400 {
-            let (id, mut to) = rig.ask(0);
+            let (id, mut to) = rig.request(0);
             for server in probed(&rig) {
                 to = to.or(report(&mut rig, server, if server.0 == 9 { 0.0 } else { 2.0 }));
             }
             let to = to.expect("sent");
             cold += u32::from(to.0 == 9);
             all += 1;
-            rig.answer(id, 0, Outcome::Success, 20.0);
+            rig.respond(id, 0, Outcome::Success, 20.0);
             rig.wait(Span::from_ms(2.0));
         }
-        assert!(cold <= all / 20, "{cold} of {all} to one cold server of ten");
+        assert!(cold <= all / 20, "{cold} of {all} to one warming server of ten");
     }
 }
 
-/// Where the site's servers bear an overload of four, a release left the few warm ones in a jam while the cold
+/// Where the site's servers take an overload of four, a release left the few warm ones in an overload while the cold
 /// ones idled: these have more than is sure, and far less than would push them over is sent to them.
 #[test]
-fn a_cold_server_is_sent_part_of_the_overload_that_it_bears() {
+fn a_warming_server_is_sent_part_of_the_overload_that_it_takes() {
     let (mut cold, mut all) = (0, 0);
     for seed in 0..20 {
         let mut rig = Rig::new(Settings { overload_factor: 4.0, initial_capacity: 0.13, ..settings() }, seed);
         let mut lines = fleet(10, 1, 1);
         lines[9].started = Some(rig.now);
-        rig.list(lines);
+        rig.set_endpoints(lines);
         for _ in 0..100 {
-            let (id, to) = rig.ask(0);
+            let (id, to) = rig.request(0);
             cold += u32::from(to == Some(ServerId(9)));
             all += 1;
-            rig.answer(id, 0, Outcome::Success, 20.0);
+            rig.respond(id, 0, Outcome::Success, 20.0);
             rig.wait(Span::from_ms(2.0));
         }
     }
     let share = f64::from(cold) / (f64::from(all - cold) / 9.0);
-    assert!((0.18..0.4).contains(&share), "a cold server was sent {share:.2} of a warm one's share");
+    assert!((0.18..0.4).contains(&share), "a warming server was sent {share:.2} of a warm one's share");
 }
--- a/tests/senseless_answers.rs
+++ b/tests/unusable_endpoint_lists.rs
@@ -6,14 +6,14 @@
 fn rig(discovery: Discovery) -> Rig {
     let classes = vec![class(Idempotency::Idempotent)];
     let mut rig = Rig::new(Settings { discovery, classes, ..Settings::default() }, 3);
-    rig.list(fleet(6, 2, 2));
+    rig.set_endpoints(fleet(6, 2, 2));
     rig
 }
 
 /// How long it takes to ask again after each of these, in milliseconds.
 fn pauses(rig: &mut Rig, update: &EndpointUpdate, times: usize) -> Vec<f64> {
     let mut pause = || {
-        rig.tell(Event::Endpoints(update.clone()));
+        rig.notify(Event::Endpoints(update.clone()));
         let from = rig.now;
         while !rig.wait(Span::from_ms(10.0)).iter().any(|a| matches!(a, Action::Watch { active: true })) {
             assert!(rig.now.since(from) < Span::from_ms(60_000.0), "it never asks again");
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn pauses_grow_where_answers_make_no_sense() {
+fn the_backoff_grows_where_responses_are_unusable() {
     for discovery in [Discovery::Pushed, Discovery::Polled] {
         let mut rig = rig(discovery);
         let pauses = pauses(&mut rig, &EndpointUpdate::Unusable, 10);
@@ -35,18 +35,18 @@
             let within = 0.5 * figure..=1.5 * figure + 60.0;
             assert!(within.contains(pause), "{discovery:?}, pause {i} of {figure} ms: {pauses:?}");
         }
-        // What was known stands, and news that can be used ends it.
-        assert!(rig.ask(0).1.is_some());
-        rig.list(fleet(6, 2, 2));
+        // What was known stands, and an update that can be used ends it.
+        assert!(rig.request(0).1.is_some());
+        rig.set_endpoints(fleet(6, 2, 2));
         let again = self::pauses(&mut rig, &EndpointUpdate::Unusable, 1);
         assert!(again[0] <= 360.0, "{discovery:?}: {again:?}");
     }
 }
 
-/// After silence and refusal the next call is over before what discovery has counts as told, 6 s after it could be reached.
-/// Where news are pushed the source lies beside, and is asked soon.
+/// After silence and rejection the next call is over before what discovery has counts as received, 6 s after it could be reached.
+/// Where updates are pushed the source lies beside, and is asked soon.
 #[test]
-fn pauses_stay_short_where_lists_only_fail_to_come() {
+fn the_backoff_stays_short_where_pushed_lists_only_fail() {
     let pushed = pauses(&mut rig(Discovery::Pushed), &EndpointUpdate::Failed, 10);
     assert!(pushed.iter().all(|pause| (100.0..=360.0).contains(pause)), "{pushed:?}");
     let asked = pauses(&mut rig(Discovery::Polled), &EndpointUpdate::Failed, 8);
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -22,7 +22,7 @@
     class: BTreeMap<RequestId, usize>,
     served: BTreeSet<RequestId>,
     logs: Vec<String>,
-    /// When a zone was first left, and when attempts were called back.
+    /// When a zone was first left, and when attempts were cancelled.
     left_at: Option<Time>,
     calls: Vec<Time>,
     probed: usize,
@@ -34,7 +34,7 @@
 impl World {
     fn new(settings: Settings, list: Vec<Endpoint>, seed: u64) -> Self {
         let mut rig = Rig::new(settings, seed);
-        rig.list(list);
+        rig.set_endpoints(list);
         World {
             rig,
             due: BTreeMap::new(),
@@ -98,7 +98,7 @@
             let id = RequestId(self.class.len() as u64);
             self.class.insert(id, class);
             let left = self.rig.deadline(class);
-            let actions = self.rig.tell(Event::Request(Request::new(id, ClassId(class), left))).to_vec();
+            let actions = self.rig.notify(Event::Request(Request::new(id, ClassId(class), left))).to_vec();
             self.carry_out(actions, &does);
             while let Some((&(at, key), &(id, attempt, outcome, sent))) =
                 self.due.iter().next().filter(|((at, _), _)| *at <= until)
@@ -106,7 +106,7 @@
                 let wait = at.since(self.rig.now);
                 let actions = self.rig.wait(wait);
                 if !actions.is_empty() {
-                    // A timer may have called back just this one.
+                    // A timer may have cancelled just this one.
                     self.carry_out(actions, &does);
                     continue;
                 }
@@ -115,14 +115,14 @@
                     self.served.insert(id);
                 }
                 let elapsed = self.rig.now.since(sent).as_ms();
-                let actions = self.rig.answer(id, attempt, outcome, elapsed).to_vec();
+                let actions = self.rig.respond(id, attempt, outcome, elapsed).to_vec();
                 self.carry_out(actions, &does);
             }
             let rest = until.since(self.rig.now);
             let actions = self.rig.wait(rest);
             self.carry_out(actions, &does);
         }
-        self.rig.assert_rules();
+        self.rig.assert_invariants();
     }
 
     /// The share of the sends since a time, and of a class if it is named, that went to zone 1 of `zones`.
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_silent_zone_is_left_at_once_and_comes_back_by_steps() {
+fn an_unresponsive_zone_is_left_at_once_and_recovers_by_steps() {
     let mut world = four_zones(settings(4), 1);
     world.play(60, 5.0, |s, _, _| if s.0 % 4 == 1 { Does::Nothing } else { WELL });
     assert_eq!(world.phase(1), ZonePhase::Away, "{:?}", world.logs);
@@ -182,17 +182,21 @@
     assert_eq!(steps, ["Away", "Returning", "Returning", "Serving"]);
 }
 
-/// Where probes are allowed, a zone that is away is asked by them, and no request finds out that it is still silent.
+/// Where health checks are allowed, a zone that is away is checked by them, and no request finds out that it is still unresponsive.
 #[test]
-fn a_zone_that_is_away_is_asked_by_probes() {
+fn a_zone_that_is_away_is_sent_health_checks() {
     let mut world = four_zones(Settings { probes: true, ..settings(4) }, 15);
     world.play(80, 5.0, |s, _, _| if s.0 % 4 == 1 { Does::Nothing } else { WELL });
     assert_eq!(world.phase(1), ZonePhase::Away, "{:?}", world.logs);
     let (since, asked) = (world.rig.now, world.probed);
     world.play(600, 5.0, |s, _, _| if s.0 % 4 == 1 { Does::Nothing } else { WELL });
     assert_eq!(world.share(since, 4, None), 0.0, "no request is spent on it");
-    assert!((3..=12).contains(&(world.probed - asked)), "{} probes in three seconds", world.probed - asked);
-    world.rig.tell(Event::HealthChecked {
+    assert!(
+        (3..=12).contains(&(world.probed - asked)),
+        "{} health checks in three seconds",
+        world.probed - asked
+    );
+    world.rig.notify(Event::HealthChecked {
         server: ServerId(5),
         outcome: Outcome::Success,
         elapsed: Span::from_ms(1.0),
@@ -202,9 +206,9 @@
     assert_ne!(world.phase(1), ZonePhase::Away, "an answer to one is followed by a request at once");
 }
 
-/// What is out in the zone is called back with the verdict, and not one by one as each becomes overdue.
+/// What is out in the zone is cancelled with the verdict, and not one by one as each becomes overdue.
 #[test]
-fn what_is_out_in_a_silent_zone_is_saved() {
+fn attempts_in_an_unresponsive_zone_are_retried_elsewhere() {
     let classes = vec![Class { late_weight: 0.5, ..class(Idempotency::Idempotent) }];
     let mut world = four_zones(Settings { classes, ..settings(4) }, 2);
     world.play(120, 5.0, |s, _, _| if s.0 % 4 == 1 { Does::Nothing } else { WELL });
@@ -215,7 +219,7 @@
 }
 
 #[test]
-fn a_fleet_that_is_ill_everywhere_has_no_failing_zone() {
+fn a_fleet_that_fails_everywhere_has_no_failing_zone() {
     for (seed, does) in [(3, Does::Nothing), (4, Does::Refuse), (5, Does::Answer(190.0)), (6, Does::Error)] {
         let mut world = four_zones(settings(4), seed);
         world.play(300, 5.0, move |_, _, _| does);
@@ -223,7 +227,7 @@
     }
 }
 
-/// Every third answer an error, at every server of the zone: too few in a row to make one of them suspect for long.
+/// Every third answer an error, at every server of the zone: too few in a row to eject one of them for long.
 #[test]
 fn a_zone_that_fails_a_share_is_left_step_by_step() {
     let mut world = four_zones(settings(4), 7);
@@ -261,10 +265,10 @@
 
 /// Each relapse that follows soon on a return makes the next pause longer.
 #[test]
-fn a_flapping_zone_is_tried_less_and_less() {
+fn a_flapping_zone_is_sent_fewer_and_fewer_probation_requests() {
     let mut world = four_zones(settings(4), 9);
     let start = world.rig.now;
-    // Silent for a second, well for half of one.
+    // Unresponsive for a second, well for half of one.
     let gone = |at: f64| ((at - start.as_ms()) % 1500.0) < 1000.0;
     world.play(7200, 5.0, |s, _, at| if s.0 % 4 == 1 && gone(at) { Does::Nothing } else { WELL });
     let lost = |from: f64, to: f64| {
@@ -288,7 +292,7 @@
     assert!(world.share(since, 3, None) < 0.05);
 }
 
-/// The own zone answers and no other does: that one alone is used, and the others are taken back when they answer.
+/// The own zone responses and no other does: that one alone is used, and the others are taken back when they answer.
 #[test]
 fn a_balancer_that_is_cut_off_keeps_to_its_own_zone() {
     let mut world = four_zones(settings(4), 11);
@@ -307,7 +311,7 @@
     let mut world = four_zones(settings(4), 12);
     world.play(80, 5.0, |s, _, _| if s.0 % 4 == 1 { Does::Nothing } else { WELL });
     assert_eq!(world.phase(1), ZonePhase::Away);
-    world.rig.list(fleet(16, 4, 16).into_iter().filter(|l| l.zone == ZoneId(1)).collect());
+    world.rig.set_endpoints(fleet(16, 4, 16).into_iter().filter(|l| l.zone == ZoneId(1)).collect());
     let before = world.class.len();
     world.play(100, 20.0, |_, _, _| WELL);
     let served = (before..before + 100).filter(|n| world.served.contains(&RequestId(*n as u64))).count();
@@ -315,12 +319,12 @@
 }
 
 #[test]
-fn a_zone_that_is_renamed_while_away_is_a_new_one() {
+fn a_zone_that_is_renamed_while_away_counts_as_new() {
     let mut world = four_zones(settings(4), 13);
     world.play(80, 5.0, |s, _, _| if s.0 % 4 == 1 { Does::Nothing } else { WELL });
     assert_eq!(world.phase(1), ZonePhase::Away);
     let rename = |l: Endpoint| Endpoint { zone: if l.zone == ZoneId(1) { ZoneId(9) } else { l.zone }, ..l };
-    world.rig.list(fleet(16, 4, 16).into_iter().map(rename).collect());
+    world.rig.set_endpoints(fleet(16, 4, 16).into_iter().map(rename).collect());
     assert!(world.rig.balancer.zone_views().iter().all(|v| v.zone != ZoneId(1)));
     world.play(800, 5.0, |_, _, _| WELL);
     let since = world.rig.now;
@@ -328,9 +332,9 @@
     assert!(world.share(since, 4, None) > 0.18);
 }
 
-/// Two requests a second: a silent zone is found by two of them, and nothing is found where all is well.
+/// Two requests a second: an unresponsive zone is found by two of them, and nothing is found where all is well.
 #[test]
-fn a_balancer_with_little_traffic_leaves_a_silent_zone_and_no_other() {
+fn a_balancer_with_little_traffic_leaves_an_unresponsive_zone_and_no_other() {
     let mut world = World::new(settings(100), fleet(16, 4, 16), 14);
     world.play(100, 500.0, |s, _, _| Does::Answer(20.0 + f64::from(s.0) * 8.0));
     assert!(world.logs.is_empty(), "{:?}", world.logs);
@@ -340,10 +344,10 @@
     assert!(world.logs.iter().all(|l| l.contains("zone 1 ")), "{:?}", world.logs);
 }
 
-/// Many balancers see a zone return, cold and in the same moment, and no list tells them that it has restarted. Its
-/// servers bear overload_factor x cold_share = 0.8 of what they bear warm; they are sent less, by all together.
+/// Many balancers see a zone return, warming up and in the same moment, and no list tells them that it has restarted. Its
+/// servers take overload_factor x cold_share = 0.8 of what they bear warm; they are sent less, by all together.
 #[test]
-fn many_balancers_together_do_not_rush_into_a_zone_that_returns() {
+fn many_balancers_together_do_not_overload_a_zone_that_recovers() {
     let settings = || settings(60);
     let mut worlds: Vec<World> = (0..60).map(|n| World::new(settings(), fleet(16, 4, 16), 100 + n)).collect();
     for world in &mut worlds {
@@ -368,9 +372,9 @@
     assert!(there > 0.7 * elsewhere, "in the end: {there} of {elsewhere}");
 }
 
-/// Half of one server's answers are errors: that is a server's trouble, and the zone stays.
+/// Half of one server's responses are errors: that is a server's trouble, and the zone stays.
 #[test]
-fn one_bad_server_does_not_condemn_its_zone() {
+fn one_failing_server_does_not_make_its_zone_fail() {
     for seed in 20..24 {
         let mut world = four_zones(settings(4), seed);
         let some = |s: ServerId, at: f64| s.0 == 5 && (at as u64 / 5).is_multiple_of(2);
@@ -381,7 +385,7 @@
 
 /// The first request after a pause is answered and all others are lost: each return relapses, and the pauses grow.
 #[test]
-fn a_zone_that_relapses_is_tried_after_longer_and_longer_pauses() {
+fn a_zone_that_relapses_is_tried_at_longer_and_longer_intervals() {
     let mut world = four_zones(settings(4), 26);
     let start = world.rig.now.as_ms();
     let last = std::cell::Cell::new(0.0);
@@ -430,9 +434,9 @@
     assert!(there < 0.1 * all, "{there} of {all}");
 }
 
-/// One zone is silent and the other is full: what it cannot hold is refused, and not sent into silence.
+/// One zone is unresponsive and the other is full: what it cannot hold is rejected, and not sent into silence.
 #[test]
-fn what_the_rest_cannot_hold_is_refused_and_not_sent_into_silence() {
+fn what_the_other_zones_have_no_capacity_for_is_rejected_and_not_sent_to_an_unresponsive_one() {
     let mut world = World::new(settings(2), fleet(8, 2, 8), 27);
     world.play(400, 5.0, |_, _, _| WELL);
     world.play(60, 5.0, |s, _, _| if s.0 % 2 == 1 { Does::Nothing } else { WELL });
