--- a/src/endpoints/tests.rs
+++ b/src/endpoints/tests.rs
@@ -29,16 +29,19 @@
         assert_eq!(sorted(self.open()), find(&is_open), "open");
         let is_held_back = |slot: usize| endpoint(slot).status == Status::Serving && !is_open(slot);
         assert_eq!(sorted(self.held_back.members()), find(&is_held_back), "held back");
-        let zones: BTreeSet<ZoneId> = self.servers.iter().map(|server| server.endpoint.zone).collect();
+        let mut zones: BTreeSet<ZoneId> = self.servers.iter().map(|server| server.endpoint.zone).collect();
+        zones.extend(self.open_by_zone.groups().chain(self.by_zone.groups()));
         for zone in zones {
             let is_there = |slot: usize| endpoint(slot).zone == zone;
             let open = find(&|slot| is_open(slot) && is_there(slot));
             assert_eq!(sorted(self.open_by_zone.members(zone)), open, "open in {zone:?}");
             assert_eq!(sorted(self.in_zone(zone)), find(&is_there), "all of {zone:?}");
         }
-        let cells: BTreeSet<CellId> = self.servers.iter().map(|server| server.endpoint.cell).collect();
-        for cell in cells.into_iter().filter(|_| self.has_cell_scope) {
-            let open = find(&|slot| is_open(slot) && endpoint(slot).cell == cell);
+        let mut cells: BTreeSet<CellId> = self.servers.iter().map(|server| server.endpoint.cell).collect();
+        cells.extend(self.open_by_cell.groups());
+        for cell in cells {
+            let is_there = |slot: usize| self.has_cell_scope && endpoint(slot).cell == cell;
+            let open = find(&|slot| is_open(slot) && is_there(slot));
             assert_eq!(sorted(self.open_by_cell.members(cell)), open, "{cell:?}");
         }
         let is_in_region = |slot: usize| is_open(slot) && self.is_other_zone_of_region(endpoint(slot).zone);
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -10,7 +10,7 @@
 const CELLS: u32 = 12;
 
 fn settings(pick: u64) -> Settings {
-    let effects = [
+    let idempotencies = [
         Idempotency::Idempotent,
         Idempotency::AtMostOnce,
         Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: Span::from_ms(600.0) },
@@ -21,7 +21,7 @@
     Settings {
         balancers: [1, 3, 9, 500][pick as usize % 4],
         zone: ZoneId(1),
-        classes: effects.into_iter().map(class).collect(),
+        classes: idempotencies.into_iter().map(class).collect(),
         prices: Prices { cross_zone: [0.0, 0.05][pick as usize % 2], ..Prices::default() },
         key_affinity: pick % 2 == 0,
         probes: pick % 3 == 0,
@@ -70,6 +70,8 @@
     }
 }
 
+/// What a walk has met; a walk that meets little shows little.
+#[derive(Default)]
 struct Seen {
     reused: bool,
     ejected: bool,
@@ -78,122 +80,180 @@
     region: bool,
 }
 
-fn walk(pick: u64, steps: u32) -> Seen {
-    let mut rng = fastrand::Rng::with_seed(pick);
-    let mut b = Balancer::new(settings(pick), pick).expect("usable settings");
-    let mut now = Time::from_ms(10_000.0);
-    let mut out = Vec::new();
-    b.start(now, &mut out);
-    let mut lines: BTreeMap<u32, Endpoint> = BTreeMap::new();
-    let mut flights: Vec<(RequestId, u32, Time)> = Vec::new();
-    let mut sent: BTreeMap<RequestId, u32> = BTreeMap::new();
-    let mut next = 0;
-    let mut seen = Seen { reused: false, ejected: false, first_try: false, warming: false, region: false };
-    for step in 0..steps {
-        now = now + Span(rng.u64(0..40_000)) + Span::from_ms(if rng.u32(0..200) == 0 { 4000.0 } else { 0.0 });
-        let free = b.fleet.endpoints.free_slot_count();
-        let known = next.max(60) - 60..next.max(60);
-        let any = |rng: &mut fastrand::Rng| ServerId(rng.u32(known.clone()));
-        let event = match rng.u32(0..100) {
-            // New ones, that get the slots of those that have gone; a few that change place.
-            0..=7 => {
-                let mut news = Vec::new();
-                for _ in 0..rng.u32(1..9) {
-                    let server = if rng.u32(0..8) == 0 { any(&mut rng).0 } else { next };
-                    next = next.max(server + 1);
-                    let started = rng.bool().then_some(now);
-                    let (zone, cell) = (ZoneId(rng.u32(0..ZONES)), CellId(rng.u32(0..CELLS)));
-                    let line = Endpoint { zone, cell, started, ..Endpoint::serving(ServerId(server)) };
-                    lines.insert(server, line.clone());
-                    news.push(line);
-                }
-                Event::Endpoints(EndpointUpdate::Changes(news))
+/// A balancer on a random walk through events.
+struct Walk {
+    rng: fastrand::Rng,
+    balancer: Balancer,
+    now: Time,
+    listed: BTreeMap<u32, Endpoint>,
+    in_flight: Vec<(RequestId, AttemptNo, Time)>,
+    attempts: BTreeMap<RequestId, u32>,
+    next_server: u32,
+    seen: Seen,
+}
+
+impl Walk {
+    fn new(pick: u64) -> Self {
+        let mut balancer = Balancer::new(settings(pick), pick).expect("usable settings");
+        let now = Time::from_ms(10_000.0);
+        balancer.start(now, &mut Vec::new());
+        Walk {
+            rng: fastrand::Rng::with_seed(pick),
+            balancer,
+            now,
+            listed: BTreeMap::new(),
+            in_flight: Vec::new(),
+            attempts: BTreeMap::new(),
+            next_server: 0,
+            seen: Seen::default(),
+        }
+    }
+
+    fn step(&mut self, step: u32) {
+        let pause = Span(self.rng.u64(0..40_000));
+        let long_pause = Span::from_ms(if self.rng.u32(0..200) == 0 { 4000.0 } else { 0.0 });
+        self.now = self.now + pause + long_pause;
+        let free_slots = self.balancer.fleet.endpoints.free_slot_count();
+        let event = self.event(step);
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        for action in &actions {
+            if let Action::Send { request, .. } = action {
+                let number = self.attempts.entry(*request).or_insert(0);
+                self.in_flight.push((*request, AttemptNo(*number), self.now));
+                *number += 1;
             }
-            8..=17 if !lines.is_empty() => {
-                let mut news = Vec::new();
-                for _ in 0..rng.usize(1..6) {
-                    let at = rng.usize(0..lines.len());
-                    let Some(line) = lines.values_mut().nth(at) else { continue };
-                    line.status = [Status::Serving, Status::Draining, Status::Gone][rng.usize(0..3)];
-                    line.started = if rng.u32(0..4) == 0 { Some(now) } else { line.started };
-                    news.push(line.clone());
-                }
-                lines.retain(|_, line| line.status != Status::Gone);
-                Event::Endpoints(EndpointUpdate::Changes(news))
+        }
+        let fleet = &self.balancer.fleet;
+        let region = fleet.endpoints.draw_pool(DrawPool::OwnRegion, RetryScope::Anywhere);
+        self.seen.reused |= fleet.endpoints.free_slot_count() < free_slots;
+        self.seen.ejected |= !fleet.outliers.ejected().is_empty();
+        self.seen.first_try |= !fleet.slow_start.all_first_tries().is_empty();
+        self.seen.warming |= fleet.slow_start.warming_count() > 0;
+        self.seen.region |= !region.is_empty();
+        check(&mut self.balancer, self.rng.u32(0..6) == 0);
+    }
+
+    fn event(&mut self, step: u32) -> Event {
+        match self.rng.u32(0..100) {
+            0..=7 => Event::Endpoints(EndpointUpdate::Changes(self.new_endpoints())),
+            8..=17 if !self.listed.is_empty() => {
+                Event::Endpoints(EndpointUpdate::Changes(self.changed_endpoints()))
             }
             18..=19 => {
-                lines.retain(|_, _| rng.u32(0..9) > 0);
-                Event::Endpoints(EndpointUpdate::Complete(lines.values().cloned().collect()))
+                let rng = &mut self.rng;
+                self.listed.retain(|_, _| rng.u32(0..9) > 0);
+                Event::Endpoints(EndpointUpdate::Complete(self.listed.values().cloned().collect()))
             }
             20 => {
-                Event::Endpoints([EndpointUpdate::Failed, EndpointUpdate::Unusable][rng.usize(0..2)].clone())
+                let failures = [EndpointUpdate::Failed, EndpointUpdate::Unusable];
+                Event::Endpoints(failures[self.rng.usize(0..2)].clone())
+            }
+            21..=23 => Event::Cordon { server: self.any_server() },
+            24..=27 => {
+                let cordoned = self.balancer.fleet.endpoints.any_cordoned();
+                let server = cordoned.unwrap_or_else(|| self.any_server());
+                Event::Uncordon { server, at: self.now }
+            }
+            28 => Event::EvacuateZone { zone: self.any_zone() },
+            29..=30 => Event::RestoreZone { zone: self.any_zone(), at: self.now },
+            31 => {
+                let zones = self.rng.u32(0..ZONES);
+                Event::Regions((0..zones).map(|zone| (ZoneId(zone), self.rng.u32(0..2))).collect())
             }
-            21..=23 => Event::Cordon { server: any(&mut rng) },
-            24..=27 => Event::Uncordon {
-                server: b.fleet.endpoints.any_cordoned().unwrap_or_else(|| any(&mut rng)),
-                at: now,
-            },
-            28 => Event::EvacuateZone { zone: ZoneId(rng.u32(0..ZONES)) },
-            29..=30 => Event::RestoreZone { zone: ZoneId(rng.u32(0..ZONES)), at: now },
-            31 => Event::Regions((0..rng.u32(0..ZONES)).map(|z| (ZoneId(z), rng.u32(0..2))).collect()),
             32 => {
-                let mut snapshot = b.snapshot(now);
-                snapshot.servers.iter_mut().for_each(|s| (s.samples, s.suspect) = (3, rng.u32(0..9) == 0));
+                let mut snapshot = self.balancer.snapshot(self.now);
+                for server in &mut snapshot.servers {
+                    (server.samples, server.suspect) = (3, self.rng.u32(0..9) == 0);
+                }
                 Event::Restore(snapshot)
             }
-            33..=34 => Event::ResponseAborted { server: any(&mut rng) },
+            33..=34 => Event::ResponseAborted { server: self.any_server() },
             35 => Event::HealthChecked {
-                server: any(&mut rng),
-                outcome: [Outcome::Success, Outcome::TimedOut][rng.usize(0..2)],
+                server: self.any_server(),
+                outcome: [Outcome::Success, Outcome::TimedOut][self.rng.usize(0..2)],
                 elapsed: Span::from_ms(3.0),
                 report: None,
             },
-            36..=63 => {
-                let mut request =
-                    Request::new(RequestId(u64::from(step)), ClassId(rng.usize(0..4)), Span::from_ms(400.0));
-                request.key = rng.bool().then(|| KeyId(rng.u64(0..9)));
-                Event::Request(request)
-            }
-            64..=92 if !flights.is_empty() => {
-                let (request, attempt, at) = flights.swap_remove(rng.usize(0..flights.len()));
-                let bad =
-                    [Outcome::ServerError, Outcome::TimedOut, Outcome::Rejected, Outcome::ConnectFailed];
-                let outcome = if rng.u32(0..3) == 0 { bad[rng.usize(0..4)] } else { Outcome::Success };
-                let (elapsed, closed) = (now.since(at), outcome == Outcome::Success);
-                let attempt = AttemptNo(attempt);
-                Event::Outcome { request, attempt, outcome, elapsed, report: None, closed }
-            }
+            36..=63 => self.request(step),
+            64..=92 if !self.in_flight.is_empty() => self.outcome(),
             _ => Event::Timer(TimerId(0)),
-        };
-        out.clear();
-        b.handle(now, event, &mut out);
-        for action in &out {
-            if let Action::Send { request, .. } = action {
-                let number = sent.entry(*request).or_insert(0);
-                flights.push((*request, *number, now));
-                *number += 1;
-            }
         }
-        seen.reused |= b.fleet.endpoints.free_slot_count() < free;
-        seen.ejected |= !b.fleet.outliers.ejected().is_empty();
-        seen.first_try |= !b.fleet.slow_start.all_first_tries().is_empty();
-        seen.warming |= b.fleet.slow_start.warming_count() > 0;
-        seen.region |= !b.fleet.endpoints.draw_pool(DrawPool::OwnRegion, RetryScope::Anywhere).is_empty();
-        check(&mut b, rng.u32(0..6) == 0);
     }
-    seen
+
+    /// One of the servers that were new last.
+    fn any_server(&mut self) -> ServerId {
+        let end = self.next_server.max(60);
+        ServerId(self.rng.u32(end - 60..end))
+    }
+
+    fn any_zone(&mut self) -> ZoneId {
+        ZoneId(self.rng.u32(0..ZONES))
+    }
+
+    /// New servers, which get the slots of removed ones, and a few that change place.
+    fn new_endpoints(&mut self) -> Vec<Endpoint> {
+        let mut entries = Vec::new();
+        for _ in 0..self.rng.u32(1..9) {
+            let is_known = self.rng.u32(0..8) == 0;
+            let server = if is_known { self.any_server().0 } else { self.next_server };
+            self.next_server = self.next_server.max(server + 1);
+            let started = self.rng.bool().then_some(self.now);
+            let (zone, cell) = (self.any_zone(), CellId(self.rng.u32(0..CELLS)));
+            let entry = Endpoint { zone, cell, started, ..Endpoint::serving(ServerId(server)) };
+            self.listed.insert(server, entry.clone());
+            entries.push(entry);
+        }
+        entries
+    }
+
+    fn changed_endpoints(&mut self) -> Vec<Endpoint> {
+        let mut entries = Vec::new();
+        for _ in 0..self.rng.usize(1..6) {
+            let at = self.rng.usize(0..self.listed.len());
+            let Some(entry) = self.listed.values_mut().nth(at) else { continue };
+            entry.status = [Status::Serving, Status::Draining, Status::Gone][self.rng.usize(0..3)];
+            entry.started = if self.rng.u32(0..4) == 0 { Some(self.now) } else { entry.started };
+            entries.push(entry.clone());
+        }
+        self.listed.retain(|_, entry| entry.status != Status::Gone);
+        entries
+    }
+
+    fn request(&mut self, step: u32) -> Event {
+        let class = ClassId(self.rng.usize(0..4));
+        let mut request = Request::new(RequestId(u64::from(step)), class, Span::from_ms(400.0));
+        request.key = self.rng.bool().then(|| KeyId(self.rng.u64(0..9)));
+        Event::Request(request)
+    }
+
+    fn outcome(&mut self) -> Event {
+        let at = self.rng.usize(0..self.in_flight.len());
+        let (request, attempt, sent_at) = self.in_flight.swap_remove(at);
+        let failures = [Outcome::ServerError, Outcome::TimedOut, Outcome::Rejected, Outcome::ConnectFailed];
+        let is_failure = self.rng.u32(0..3) == 0;
+        let outcome = if is_failure { failures[self.rng.usize(0..4)] } else { Outcome::Success };
+        let (elapsed, closed) = (self.now.since(sent_at), outcome == Outcome::Success);
+        Event::Outcome { request, attempt, outcome, elapsed, report: None, closed }
+    }
+}
+
+fn walk(pick: u64, steps: u32) -> Seen {
+    let mut walk = Walk::new(pick);
+    (0..steps).for_each(|step| walk.step(step));
+    walk.seen
 }
 
 #[test]
 fn increments_equal_a_walk_over_all_servers() {
     let walks: Vec<Seen> = (0..16).map(|pick| walk(pick, 800)).collect();
-    let most = |so: fn(&Seen) -> bool| walks.iter().filter(|seen| so(seen)).count();
+    let count = |so: fn(&Seen) -> bool| walks.iter().filter(|seen| so(seen)).count();
     let counts = [
-        ("reused", most(|s| s.reused)),
-        ("ejected", most(|s| s.ejected)),
-        ("first try", most(|s| s.first_try)),
-        ("warming", most(|s| s.warming)),
-        ("region", most(|s| s.region)),
+        ("reused", count(|s| s.reused)),
+        ("ejected", count(|s| s.ejected)),
+        ("first try", count(|s| s.first_try)),
+        ("warming", count(|s| s.warming)),
+        ("region", count(|s| s.region)),
     ];
     for (what, count) in counts {
         assert!(
