--- a/src/balancer/views.rs
+++ b/src/balancer/views.rs
@@ -29,10 +29,10 @@
         let fleet = &self.fleet;
         let open = || fleet.endpoints.open().iter().map(|&slot| fleet.server(slot));
         let limits = open().map(|server| server.limit.value());
-        let (least, sum) = limits.fold((f64::INFINITY, 0.0), |(least, sum), l| (least.min(l), sum + l));
+        let (lowest, sum) = limits.fold((f64::INFINITY, 0.0), |(lowest, sum), l| (lowest.min(l), sum + l));
         format!(
-            "serving {} suspect {} in flight {} held {} level {:.2} limits {sum:.1} least {least:.2} \
-             median {:.2} pace {:.2?} now {:.2?} retries {:.1}",
+            "open {} ejected {} in flight {} queued {} level {:.2} limits {sum:.1} lowest {lowest:.2} \
+             median {:.2} usual {:.2?} current {:.2?} retry tokens {:.1}",
             open().count(),
             fleet.outliers.ejected().len(),
             self.pending.in_flight_count(),
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -296,7 +296,10 @@
             return false;
         }
         let (latency, median) = (server.latency.smoothed(), self.latencies.median());
-        let text = format!("server {} {reason}: pace {latency:.2} of median {median:.2}", id.0);
+        let text = format!(
+            "server {} is ejected: {reason}; latency {latency:.2} of the objective, median {median:.2}",
+            id.0
+        );
         actions.push(Action::Log { server: Some(id), zone: None, text });
         self.reindex(slot);
         true
--- a/src/outliers.rs
+++ b/src/outliers.rs
@@ -66,8 +66,8 @@
         f.write_str(match self {
             OutlierReason::Failing => "failing",
             OutlierReason::Slow => "slow",
-            OutlierReason::Unresponsive => "silent",
-            OutlierReason::FailsHealthChecks => "silent to probes",
+            OutlierReason::Unresponsive => "unresponsive",
+            OutlierReason::FailsHealthChecks => "unresponsive to health checks",
         })
     }
 }
