--- a/src/zones/tests.rs
+++ b/src/zones/tests.rs
@@ -1,6 +1,8 @@
 use super::health::{ZoneHealth, ZoneUsage};
 use super::*;
-use crate::Class;
+use crate::latency::Latencies;
+use crate::slot_sets::SlotGroups;
+use crate::{Class, ServerId};
 
 const FAILING: ZoneId = ZoneId(1);
 const HEALTHY: ZoneId = ZoneId(2);
