--- a/src/latency.rs
+++ b/src/latency.rs
@@ -13,7 +13,7 @@
 /// What is assumed before the first response.
 const INITIAL_LATENCY: f64 = 0.2;
 /// The least median, as a fraction of the latency objective.
-const MIN_MEDIAN: f64 = 0.01;
+pub(crate) const MIN_MEDIAN: f64 = 0.01;
 /// The least usual latency of a class in milliseconds.
 const MIN_USUAL_LATENCY_MS: f64 = 0.001;
 /// The least usual latency, as a fraction, that a response is compared with.
@@ -23,8 +23,8 @@
 /// The weight of a new response in the usual latency of its class; a slower one counts a quarter.
 const USUAL_GAIN: f64 = 0.04;
 /// The range of a server's slowdown.
-const MIN_SLOWDOWN: f64 = 0.05;
-const MAX_SLOWDOWN: f64 = 8.0;
+pub(crate) const MIN_SLOWDOWN: f64 = 0.05;
+pub(crate) const MAX_SLOWDOWN: f64 = 8.0;
 /// A server is slow at this multiple of the median over the servers; below it, load alone moves requests elsewhere.
 const SLOW_FACTOR: f64 = 3.0;
 /// The least median that a probation response is compared with.
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -3,16 +3,13 @@
 //! The balancer captures a [`Snapshot`] and restores one. What a snapshot holds comes from another process, so a value
 //! is only used if it is a plausible number, and within bounds.
 
+use crate::latency::{MAX_SLOWDOWN, MIN_MEDIAN, MIN_SLOWDOWN};
 use crate::{ServerId, Time};
 use std::cmp::Reverse;
 
 /// The most servers in a snapshot. Stored, a server takes some 180 bytes, and the file that a snapshot is stored in is
 /// limited to 256 KiB (`agent/src/peers/handover.rs`).
 const MAX_SNAPSHOT_SERVERS: usize = 1024;
-/// The least median latency that is used, as a fraction of the latency objective.
-const MIN_MEDIAN: f64 = 0.01;
-/// The range of a server's slowdown.
-const SLOWDOWN_RANGE: (f64, f64) = (0.05, 8.0);
 
 /// What a balancer has learned, for the process that takes over from it.
 #[derive(Debug, Clone, PartialEq, Default)]
@@ -82,7 +79,7 @@
             return None;
         }
         self.limit = self.limit.clamp(bounds.min_limit, bounds.max_limit);
-        self.stretch = self.stretch.clamp(SLOWDOWN_RANGE.0, SLOWDOWN_RANGE.1);
+        self.stretch = self.stretch.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
         self.pace = self.pace.clamp(0.0, bounds.max_latency);
         Some(self)
     }
