--- a/tests/cold_server_not_pushed_over.rs
+++ b/tests/cold_server_not_pushed_over.rs
@@ -22,7 +22,7 @@
     let mut out: Vec<(Time, RequestId, u32)> = Vec::new();
     let end = rig.now + Span::from_ms(ms);
     while rig.now < end {
-        let (id, sent) = rig.ask(0);
+        let (id, sent) = rig.request(0);
         if let Some(sent) = sent {
             all += 1;
             there += u32::from(sent == server);
@@ -33,11 +33,11 @@
         let due: Vec<_> = out.iter().filter(|o| o.0 <= now).copied().collect();
         out.retain(|o| o.0 > now);
         for (_, id, attempt) in due {
-            rig.answer(id, attempt, Outcome::Success, 20.0);
+            rig.respond(id, attempt, Outcome::Success, 20.0);
         }
     }
     for (_, id, attempt) in out {
-        rig.answer(id, attempt, Outcome::Success, 20.0);
+        rig.respond(id, attempt, Outcome::Success, 20.0);
     }
     (there, all)
 }
@@ -47,7 +47,7 @@
     let mut rig = Rig::new(settings(), 4);
     let mut lines = fleet(6, 1, 1);
     lines[5].started = Some(rig.now);
-    rig.list(lines);
+    rig.set_endpoints(lines);
     let (cold, all) = load(&mut rig, 200.0, 1500.0, ServerId(5));
     let warm = f64::from(all - cold) / 5.0;
     assert!(f64::from(cold) <= 0.5 * warm, "cold {cold}, a warm one {warm}");
@@ -55,7 +55,7 @@
     load(&mut rig, 200.0, 8600.0, ServerId(5));
     let (then, all) = load(&mut rig, 200.0, 1500.0, ServerId(5));
     assert!(f64::from(then) > 0.5 * f64::from(all) / 6.0, "warm by then: {then} of {all}");
-    rig.assert_rules();
+    rig.assert_invariants();
 }
 
 #[test]
@@ -63,13 +63,13 @@
     let mut rig = Rig::new(settings(), 4);
     let mut lines = fleet(6, 1, 1);
     lines[5].started = Some(rig.now);
-    rig.list(lines.clone());
+    rig.set_endpoints(lines.clone());
     load(&mut rig, 200.0, 8000.0, ServerId(5));
     lines[5].started = Some(rig.now);
-    rig.tell(Event::Endpoints(EndpointUpdate::Changes(vec![lines[5].clone()])));
+    rig.notify(Event::Endpoints(EndpointUpdate::Changes(vec![lines[5].clone()])));
     let (cold, all) = load(&mut rig, 200.0, 1000.0, ServerId(5));
     assert!(f64::from(cold) <= 0.5 * f64::from(all - cold) / 5.0, "{cold} of {all}");
-    rig.assert_rules();
+    rig.assert_invariants();
 }
 
 #[test]
@@ -77,10 +77,12 @@
     for n in [1, 4] {
         let mut rig = Rig::new(settings(), 4);
         let start = rig.now;
-        rig.list(fleet(n, 1, 1).into_iter().map(|l| Endpoint { started: Some(start), ..l }).collect());
+        rig.set_endpoints(
+            fleet(n, 1, 1).into_iter().map(|l| Endpoint { started: Some(start), ..l }).collect(),
+        );
         let (_, all) = load(&mut rig, 20.0, 1000.0, ServerId(0));
         assert!(all > 10, "{all} sent");
-        rig.assert_rules();
+        rig.assert_invariants();
     }
 }
 
@@ -89,10 +91,10 @@
 fn an_all_cold_fleet_is_paced_by_its_answers() {
     let mut rig = Rig::new(settings(), 4);
     let start = rig.now;
-    rig.list(fleet(4, 1, 1).into_iter().map(|l| Endpoint { started: Some(start), ..l }).collect());
+    rig.set_endpoints(fleet(4, 1, 1).into_iter().map(|l| Endpoint { started: Some(start), ..l }).collect());
     let mut sent = 0;
     for _ in 0..200 {
-        sent += u32::from(rig.ask(0).1.is_some());
+        sent += u32::from(rig.request(0).1.is_some());
     }
     assert!(sent <= 8, "{sent} sent at once to four servers at a fifth of their capacity");
 }
@@ -120,12 +122,12 @@
     server: ServerId,
 }
 
-/// Requests that come `gap_ms` apart; each attempt is answered well after `busy_ms`, unless its server is silent.
+/// Requests that come `gap_ms` apart; each attempt is answered well after `busy_ms`, unless its server is unresponsive.
 struct Load {
     gap_ms: f64,
     busy_ms: f64,
     hint: fn(u64) -> Option<Span>,
-    silent: fn(ServerId) -> bool,
+    unresponsive: fn(ServerId) -> bool,
     requests: u64,
     busy: Vec<Busy>,
     attempts: BTreeMap<RequestId, u32>,
@@ -134,13 +136,13 @@
 }
 
 impl Load {
-    /// No server is silent, and no request says what it costs.
+    /// No server is unresponsive, and no request says what it costs.
     fn new(gap_ms: f64, busy_ms: f64) -> Self {
         Load {
             gap_ms,
             busy_ms,
             hint: |_| None,
-            silent: |_| false,
+            unresponsive: |_| false,
             requests: 0,
             busy: Vec::new(),
             attempts: BTreeMap::new(),
@@ -154,7 +156,7 @@
         for number in self.requests..self.requests + requests {
             let mut request = Request::new(RequestId(number), ClassId(0), rig.deadline(0));
             request.cost_hint = (self.hint)(number);
-            let actions = rig.tell(Event::Request(request)).to_vec();
+            let actions = rig.notify(Event::Request(request)).to_vec();
             self.take(rig.now, actions);
             self.go_on(rig);
         }
@@ -167,7 +169,7 @@
         while rig.now < end {
             self.go_on(rig);
         }
-        rig.assert_rules();
+        rig.assert_invariants();
     }
 
     fn go_on(&mut self, rig: &mut Rig) {
@@ -175,8 +177,8 @@
         self.take(rig.now, actions);
         while let Some(i) = self.busy.iter().position(|busy| busy.until <= rig.now) {
             let Busy { request, attempt, server, .. } = self.busy.swap_remove(i);
-            let outcome = if (self.silent)(server) { Outcome::TimedOut } else { Outcome::Success };
-            let actions = rig.answer(request, attempt, outcome, self.busy_ms).to_vec();
+            let outcome = if (self.unresponsive)(server) { Outcome::TimedOut } else { Outcome::Success };
+            let actions = rig.respond(request, attempt, outcome, self.busy_ms).to_vec();
             self.take(rig.now, actions);
         }
     }
@@ -185,7 +187,8 @@
         for action in actions {
             let Action::Send { request, server, timeout_at } = action else { continue };
             let attempts = self.attempts.entry(request).or_default();
-            let until = if (self.silent)(server) { timeout_at } else { now + Span::from_ms(self.busy_ms) };
+            let until =
+                if (self.unresponsive)(server) { timeout_at } else { now + Span::from_ms(self.busy_ms) };
             self.busy.push(Busy { until, request, attempt: *attempts, server });
             *attempts += 1;
             *self.sent.entry(server).or_default() += 1;
@@ -202,12 +205,12 @@
 fn requests_without_a_hint_weigh_as_much_as_those_with_one() {
     let mut rig = Rig::new(settings(), 4);
     let mut lines = fleet(3, 1, 1);
-    rig.list(lines.clone());
+    rig.set_endpoints(lines.clone());
     let hint = |number| (number % 2 == 0).then_some(Span::from_ms(40.0));
     let mut load = Load { hint, ..Load::new(2.0, 5.0) };
     load.play(&mut rig, 1000);
     lines[2].started = Some(rig.now);
-    rig.list(lines);
+    rig.set_endpoints(lines);
     load.play(&mut rig, 500);
     load.play(&mut rig, 750);
     let (warm, cold) = ((load.sent_to(0) + load.sent_to(1)) / 2.0, load.sent_to(2));
@@ -219,11 +222,11 @@
 
 /// With more balancers than servers limits per server bind nothing; the own counts must leave a cold one its part.
 #[test]
-fn many_own_requests_do_not_crowd_the_cold_servers_of_a_blind_balancer() {
+fn many_own_requests_do_not_overload_warming_servers_with_sparse_traffic() {
     let mut rig = Rig::new(Settings { balancers: 7, ..settings() }, 4);
     let start = rig.now;
     let lines = fleet(6, 1, 1).into_iter();
-    rig.list(lines.map(|l| Endpoint { started: (l.server.0 > 0).then_some(start), ..l }).collect());
+    rig.set_endpoints(lines.map(|l| Endpoint { started: (l.server.0 > 0).then_some(start), ..l }).collect());
     // Some 60 are out at a time, ten a server.
     let mut load = Load::new(2.0, 120.0);
     load.play(&mut rig, 1000);
@@ -242,13 +245,13 @@
 fn a_cold_server_does_not_get_the_share_of_a_load_that_has_ended() {
     let mut rig = Rig::new(Settings { balancers: 1, ..settings() }, 4);
     let mut lines = fleet(2, 1, 1);
-    rig.list(lines[..1].to_vec());
+    rig.set_endpoints(lines[..1].to_vec());
     let mut load = Load::new(2.0, 5.0);
     load.play(&mut rig, 1000);
-    // The warm server falls silent as the cold one comes.
+    // The warm server falls unresponsive as the cold one comes.
     lines[1].started = Some(rig.now);
-    rig.list(lines);
-    load.silent = |server| server == ServerId(0);
+    rig.set_endpoints(lines);
+    load.unresponsive = |server| server == ServerId(0);
     load.play(&mut rig, 750);
     let cold = load.sent_to(1);
     assert!(cold >= 20.0, "it stands in while the load that has ended is in the window: {cold}");
@@ -256,15 +259,14 @@
     load.end(&mut rig);
 }
 
-/// Of two servers each pick of a blind balancer draws both, so that its chances hold back nothing of what the warm one
-/// does not answer.
+/// Of two servers each selection draws both, so that chance holds back nothing of what the warm one does not answer.
 #[test]
-fn a_blind_balancer_does_not_send_a_cold_server_all_that_the_warm_one_leaves() {
+fn with_sparse_traffic_a_warming_server_is_not_sent_all_that_the_warm_one_leaves() {
     let mut rig = Rig::new(Settings { balancers: 3, ..settings() }, 4);
     let mut lines = fleet(2, 1, 1);
     lines[1].started = Some(rig.now);
-    rig.list(lines);
-    let mut load = Load { silent: |server| server == ServerId(0), ..Load::new(5.0, 5.0) };
+    rig.set_endpoints(lines);
+    let mut load = Load { unresponsive: |server| server == ServerId(0), ..Load::new(5.0, 5.0) };
     load.play(&mut rig, 600);
     assert!(load.sent_to(1) >= 30.0, "but its part: {:?}", load.sent);
     load.end(&mut rig);
