--- a/src/selection/weights.rs
+++ b/src/selection/weights.rs
@@ -19,7 +19,7 @@
 const AFFINITY_WEIGHT: f64 = 0.7;
 /// Loads that differ by less than this (as a logarithm) are alike: a quarter is well within chance.
 const LOAD_RESOLUTION: f64 = 0.25;
-/// The count of own requests at a server that is warming up is divided by its capacity, by this at least.
+/// The least capacity of a server that is warming up that counts.
 const MIN_SLOW_START_FACTOR: f64 = 0.01;
 /// The least latency, as a fraction of the objective, that counts.
 const MIN_LATENCY: f64 = 0.01;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The count of own requests, at a server that is warming up over the capacity that it has for certain, and a random number weighted by what the server can take (an exponential race:
+    /// The own requests as they count next to the server's capacity, and a random number weighted by what the server can take (an exponential race:
     /// Efraimidis and Spirakis, "Weighted random sampling with a reservoir", 2006).
     fn sparse_load_key(
         &self,
@@ -98,8 +98,8 @@
         let server = fleet.server(slot);
         let reported = if queries_load { server.report.requests().round() as i64 } else { 0 };
         let race = -(1.0 - random).ln() / self.weight(now, fleet, server);
-        let factor = fleet.slow_start_factor(now, server).max(MIN_SLOW_START_FACTOR);
-        let requests = f64::from(server.connections.in_flight()) / factor;
+        let factor = fleet.slow_start_factor(now, server);
+        let requests = sparse_requests(server.connections.in_flight(), factor);
         (requests.round() as i64, reported, race.to_bits())
     }
 
@@ -121,3 +121,12 @@
             / latency.max(MIN_LATENCY).powi(LATENCY_EXPONENT)
     }
 }
+
+/// The own requests in flight at a server with this slow-start factor, as they count next to those at other servers. One
+/// request counts as one anywhere, as slow start limits how often such a server is drawn; those beyond it count over the
+/// capacity that the server has for certain, or many own requests would fill servers that are warming up like any other.
+fn sparse_requests(in_flight: u32, factor: f64) -> f64 {
+    let requests = f64::from(in_flight);
+    let beyond_first = (requests - 1.0).max(0.0);
+    requests - beyond_first + beyond_first / factor.max(MIN_SLOW_START_FACTOR)
+}
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -22,6 +22,9 @@
 const MAX_DUE_FIRST_TRIES: usize = FIRST_TRIES_PER_SERVER as usize;
 /// With sparse traffic a server that is warming up is sent this fraction of the overload at which it fails.
 const SPARSE_OVERLOAD_FRACTION: f64 = 0.5;
+/// With sparse traffic a balancer may exceed its bound in the overload window by a request of mean work for so many
+/// balancers, and by one at least: the more there are, the more evenly chance spreads what all of them send.
+const BALANCERS_PER_SPARE_REQUEST: f64 = 10.0;
 /// The time constant of the load that a server was sent, as a fraction of the overload window.
 const LOAD_WINDOW_FRACTION: f64 = 0.5;
 
@@ -152,8 +155,8 @@
     }
 
     /// The same with sparse traffic, where the own attempts are too few to show a server's share: that is kept by chance
-    /// ([`SlowStart::passes_draw`]). As chance is not even, what the settings allow in the overload window binds as well,
-    /// with a request of mean work to spare.
+    /// ([`SlowStart::passes_draw`]). Chance is not even for few balancers, so what the settings allow in the overload window
+    /// binds as well, with some requests of mean work to spare.
     pub(crate) fn has_sparse_budget(
         &self,
         now: Time,
@@ -166,7 +169,8 @@
             return true;
         }
         let sent_in_window = server.sent_in_window(now, self.overload_window);
-        let exceeds_window = sent_in_window > self.allowed_in_window(now, factor) + mean_work;
+        let spare = (f64::from(self.balancers) / BALANCERS_PER_SPARE_REQUEST).max(1.0) * mean_work;
+        let exceeds_window = sent_in_window > self.allowed_in_window(now, factor) + spare;
         !exceeds_window
     }
 
