--- a/agent/src/downstream/server.rs
+++ b/agent/src/downstream/server.rs
@@ -7,7 +7,8 @@
 use crate::traffic::lingering::Lingering;
 use crate::traffic::pace::{turns, Asked, Pace, Patience, Timed};
 use crate::traffic::socket::Socket;
-use crate::upstream::client::{forwarded, Served};
+use crate::upstream::exchange::ServedResponse;
+use crate::upstream::headers::forwarded_headers;
 use balancer::{ClassId, Idempotency, KeyId, RequestId, Span, TenantId};
 use balancer_settings::fnv1a;
 use bytes::BytesMut;
@@ -425,7 +426,7 @@
             name,
             came,
             deadline: came + (wait - room),
-            headers: forwarded(&head.headers),
+            headers: forwarded_headers(&head.headers),
             method: head.method,
             uri: head.uri,
             body: body.content,
@@ -494,7 +495,7 @@
 fn word(answer: Answer) -> Response<Reply> {
     match answer {
         Answer::Served(served) => {
-            let Served { kind, length, body } = *served;
+            let ServedResponse { content_type: kind, content_length: length, body } = *served;
             let mut response = Response::new(body);
             response.headers_mut().extend(kind.map(|kind| (CONTENT_TYPE, kind)));
             response.headers_mut().extend(length.map(|length| (CONTENT_LENGTH, length)));
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -14,8 +14,10 @@
 use crate::metrics::{Attempts, Counts, Metrics};
 use crate::traffic::body::{Budget, Step};
 use crate::traffic::pace::turns;
-use crate::upstream::client::{Ended, Progress, Upstream};
+use crate::upstream::attempt::AttemptProgress;
+use crate::upstream::client::UpstreamClient;
 use crate::upstream::discovery::{Discovery, Listener, News, STEP};
+use crate::upstream::exchange::ExchangeResult;
 use balancer::{
     Action, AttemptNo, Balancer, EndpointCounts, EndpointUpdate, Event, Idempotency, Outcome, RequestId,
     ServerId, ServerView, SettingsError, Snapshot, Span, Status, Time, ZoneId,
@@ -61,7 +63,7 @@
     metrics: Rc<Metrics>,
     /// What may be held of bodies.
     pub budget: Rc<Budget>,
-    upstream: Rc<Upstream>,
+    upstream: Rc<UpstreamClient>,
     state: RefCell<State>,
     wake: Notify,
 }
@@ -75,7 +77,7 @@
         let metrics = Metrics::new(config.names.classes.len());
         let budget = Rc::new(Budget::of(config.memory_mb, config.shared));
         let connect_timeout = Duration::from_micros(config.names.connect_timeout.0);
-        let upstream = Rc::new(Upstream::new(
+        let upstream = Rc::new(UpstreamClient::new(
             connections,
             metrics.clone(),
             budget.clone(),
@@ -107,7 +109,7 @@
         });
         {
             let mut state = driver.state.borrow_mut();
-            let describe = |server, host: &_| driver.upstream.describe(server, host);
+            let describe = |server, host: &_| driver.upstream.update_endpoint(server, host);
             let list = state.servers.begin(config.known, &driver.names, describe);
             state.queue.push(Event::Endpoints(EndpointUpdate::Saved(list)));
             for action in actions {
@@ -354,7 +356,7 @@
         self.wall_clock.check();
         let (update, more) = {
             let mut state = self.state.borrow_mut();
-            let describe = |server, host: &_| self.upstream.describe(server, host);
+            let describe = |server, host: &_| self.upstream.update_endpoint(server, host);
             match news {
                 News::Called => {
                     state.servers.called();
@@ -383,7 +385,7 @@
         self.tell([Event::Endpoints(update)]);
         let mut state = self.state.borrow_mut();
         while let Some((server, zone)) = state.servers.forget() {
-            self.upstream.forget(server);
+            self.upstream.remove_endpoint(server);
             if let Some(attempts) = self.metrics.forget(server) {
                 state.servers.left(&zone, &attempts);
             }
@@ -417,7 +419,7 @@
             self.state.borrow_mut().queue.go_off();
             self.pump();
             if Instant::now() >= sweep {
-                self.upstream.sweep();
+                self.upstream.evict_idle();
                 self.wall_clock.check();
                 self.write_counts();
                 sweep = Instant::now() + SWEEP;
@@ -429,7 +431,7 @@
     fn write_counts(&self) {
         let mut state = self.state.borrow_mut();
         if let Some(counts) = state.requests.log.counts(Instant::now(), &self.metrics) {
-            counts.write(self.upstream.held(), &state.queue.balancer.summary());
+            counts.write(self.upstream.open_connections(), &state.queue.balancer.summary());
         }
     }
 
@@ -449,7 +451,7 @@
             Action::Send { request, server, timeout_at } => self.send(state, request, server, timeout_at),
             Action::Cancel { request, attempt } => {
                 if let Some(progress) = state.requests.attempts.get(&(request, attempt.0)) {
-                    progress.call_off();
+                    progress.cancel();
                 }
             }
             Action::Reject { request, retry_after } => {
@@ -494,7 +496,7 @@
         let parts = open.parts.clone();
         // A long body is timed from its last byte, by what its client said.
         let (upload, wait) = (parts.intake().cloned(), parts.wait());
-        let progress = Rc::new(Progress::default());
+        let progress = Rc::new(AttemptProgress::default());
         state.requests.attempts.insert((request, attempt), progress.clone());
         let driver = self.clone();
         tokio::task::spawn_local(async move {
@@ -518,14 +520,14 @@
                 };
                 may_begin.then(|| outgoing(&parts, left))
             };
-            let ended = driver.upstream.attempt(server, begin, parts.intake(), over, &progress).await;
+            let ended = driver.upstream.send_attempt(server, begin, parts.intake(), over, &progress).await;
             let since = upload.and_then(|upload| upload.whole_at()).map_or(sent, |whole| whole.max(sent));
             driver.ended((request, attempt), server, ended, since);
         });
     }
 
     /// An attempt is over: the first that is served answers its request.
-    fn ended(self: &Rc<Self>, key: (RequestId, u32), server: ServerId, ended: Ended, sent: Instant) {
+    fn ended(self: &Rc<Self>, key: (RequestId, u32), server: ServerId, ended: ExchangeResult, sent: Instant) {
         let elapsed = Span(sent.elapsed().as_micros() as u64);
         let broken = |open: &Open| open.parts.intake().is_some_and(|intake| intake.is_broken());
         if self.state.borrow().requests.open.get(&key.0).is_some_and(broken) {
@@ -536,7 +538,7 @@
             let mut state = self.state.borrow_mut();
             state.requests.attempts.remove(&key);
             self.metrics.attempt(server, ended.outcome);
-            if let Some(served) = ended.answer {
+            if let Some(served) = ended.response {
                 let driver = self.clone();
                 let broke = move || driver.broke(server);
                 let state = &mut *state;
@@ -552,8 +554,8 @@
                     zone,
                     outcome: ended.outcome,
                     status: ended.status,
-                    idled: ended.idled,
-                    why: ended.why,
+                    idled: ended.connection_idle,
+                    why: ended.error.map(|error| error.to_string()),
                     took: elapsed,
                 });
                 open.timed_out = ended.outcome == Outcome::TimedOut;
@@ -564,7 +566,7 @@
                 attempt: AttemptNo(key.1),
                 outcome: ended.outcome,
                 elapsed,
-                report: ended.report,
+                report: ended.load_report,
                 closed,
             });
         }
@@ -589,7 +591,8 @@
         let driver = self.clone();
         tokio::task::spawn_local(async move {
             let sent = Instant::now();
-            let Ended { outcome, report, .. } = driver.upstream.probe(server).await;
+            let ExchangeResult { outcome, load_report: report, .. } =
+                driver.upstream.check_health(server).await;
             let elapsed = Span(sent.elapsed().as_micros() as u64);
             driver.tell([Event::HealthChecked { server, outcome, elapsed, report }]);
         });
--- a/agent/src/driver/requests.rs
+++ b/agent/src/driver/requests.rs
@@ -3,7 +3,8 @@
 use crate::log::{self, Log, Tried};
 use crate::metrics::{End, Taken};
 use crate::traffic::body::{Hold, Intake, Outgoing};
-use crate::upstream::client::{Progress, Served};
+use crate::upstream::attempt::AttemptProgress;
+use crate::upstream::exchange::ServedResponse;
 use balancer::{ClassId, KeyId, RequestId, Span, TenantId};
 use balancer_settings::Names;
 use bytes::Bytes;
@@ -71,7 +72,7 @@
 /// The one final answer to a request.
 pub enum Answer {
     /// A backend's answer, whole or begun.
-    Served(Box<Served>),
+    Served(Box<ServedResponse>),
     /// Refused by the balancer; trying again is harmless, and makes sense after this long.
     Refused(Option<Span>),
     /// Failed, with no promise.
@@ -98,7 +99,7 @@
     /// Those that are owed an answer.
     pub open: HashMap<RequestId, Open>,
     /// Attempts that are out; one may outlive its request.
-    pub attempts: HashMap<(RequestId, u32), Rc<Progress>>,
+    pub attempts: HashMap<(RequestId, u32), Rc<AttemptProgress>>,
     /// Room in the log.
     pub log: Log,
 }
@@ -139,7 +140,7 @@
     pub fn serve(
         &mut self,
         id: RequestId,
-        mut served: Served,
+        mut served: ServedResponse,
         broke: impl FnOnce() + 'static,
         names: &Names,
         by: (&str, &str),
@@ -200,8 +201,8 @@
 
     fn stop_unwritten(&self, id: RequestId, sends: u32) {
         for attempt in 0..sends {
-            if let Some(progress) = self.attempts.get(&(id, attempt)).filter(|p| !p.may_have_run()) {
-                progress.call_off();
+            if let Some(progress) = self.attempts.get(&(id, attempt)).filter(|p| !p.may_have_executed()) {
+                progress.cancel();
             }
         }
     }
--- /dev/null
+++ b/agent/src/upstream/attempt.rs
@@ -0,0 +1,168 @@
+//! One attempt: it gets a connection, sends its request and waits for the response.
+
+use crate::metrics::Metrics;
+use crate::traffic::body::{Intake, Outgoing};
+use crate::upstream::errors::AttemptError;
+use crate::upstream::exchange::{ExchangeResult, Exchanger};
+use crate::upstream::pool::{ConnectionPool, PooledConnection};
+use crate::upstream::write_counter::RequestOnWire;
+use balancer::{Outcome, ServerId};
+use hyper::body::Body;
+use hyper::Request;
+use std::cell::{Cell, RefCell};
+use std::future::Future;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::Notify;
+
+/// How far an attempt has come, shared by the event loop and the attempt's task.
+#[derive(Default)]
+pub struct AttemptProgress {
+    /// Its request, once it has a connection.
+    request: RefCell<Option<RequestOnWire>>,
+    /// How long the connection had been idle, if it was not a new one.
+    connection_idle: Cell<Option<Duration>>,
+    is_cancelled: Cell<bool>,
+    cancelled: Notify,
+}
+
+impl AttemptProgress {
+    /// Whether its last byte may be out: from there on it may have executed.
+    pub fn may_have_executed(&self) -> bool {
+        self.request.borrow().as_ref().is_some_and(RequestOnWire::is_sent)
+    }
+
+    /// Cancels the attempt. What has not been written stays unwritten.
+    pub fn cancel(&self) {
+        self.is_cancelled.set(true);
+        if let Some(request) = &*self.request.borrow() {
+            request.forbid_writes();
+        }
+        self.cancelled.notify_one();
+    }
+}
+
+/// What an attempt needs of its client.
+pub struct AttemptContext<'a> {
+    /// Where its connection comes from.
+    pub pool: &'a Rc<ConnectionPool>,
+    /// Runs its exchange.
+    pub exchanger: &'a Exchanger,
+    /// Records its last byte.
+    pub metrics: &'a Rc<Metrics>,
+}
+
+/// What ended an attempt that has no response.
+enum AttemptEnd {
+    Failed(AttemptError),
+    Cancelled,
+    TimedOut,
+}
+
+impl AttemptContext<'_> {
+    /// Sends an attempt and waits for its end, or for `deadline`. Directly before the first byte `build_request` is called:
+    /// a connection takes its time to open, and what was decided before may no longer hold. `body` is the request's body,
+    /// if that is passed on as it comes.
+    pub async fn run(
+        &self,
+        server: ServerId,
+        build_request: impl FnOnce() -> Option<Request<Outgoing>>,
+        body: Option<&Rc<Intake>>,
+        deadline: impl Future<Output = ()>,
+        progress: &AttemptProgress,
+    ) -> ExchangeResult {
+        let end = tokio::select! {
+            biased;
+            () = progress.cancelled.notified() => AttemptEnd::Cancelled,
+            result = self.connect_and_exchange(server, build_request, progress) => match result {
+                Ok(result) => return ExchangeResult { connection_idle: progress.connection_idle.get(), ..result },
+                Err(error) => AttemptEnd::Failed(error),
+            },
+            () = deadline => AttemptEnd::TimedOut,
+        };
+        // A client that sends no more has ended it, and neither the server nor the network.
+        let is_unsent = progress.is_cancelled.get() || body.is_some_and(|body| body.is_broken());
+        let outcome = end.outcome(progress.may_have_executed(), is_unsent);
+        let error = match end {
+            AttemptEnd::Failed(error) => Some(error),
+            AttemptEnd::Cancelled | AttemptEnd::TimedOut => None,
+        };
+        ExchangeResult {
+            connection_idle: progress.connection_idle.get(),
+            error,
+            ..ExchangeResult::without_response(outcome)
+        }
+    }
+
+    async fn connect_and_exchange(
+        &self,
+        server: ServerId,
+        build_request: impl FnOnce() -> Option<Request<Outgoing>>,
+        progress: &AttemptProgress,
+    ) -> Result<ExchangeResult, AttemptError> {
+        let connection = self.pool.checkout(server).await?;
+        if progress.is_cancelled.get() {
+            self.pool.check_in(connection);
+            return Err(AttemptError::Cancelled);
+        }
+        let request = if self.pool.is_current(&connection) { build_request() } else { None };
+        let Some(mut request) = request else {
+            self.pool.check_in(connection);
+            return Err(AttemptError::TooLate);
+        };
+        self.start_request(server, &connection, &mut request, progress);
+        Ok(self.exchanger.exchange(connection, request).await?)
+    }
+
+    /// Makes the progress of a request visible before its first byte.
+    fn start_request(
+        &self,
+        server: ServerId,
+        connection: &PooledConnection,
+        request: &mut Request<Outgoing>,
+        progress: &AttemptProgress,
+    ) {
+        let counter = &connection.http.counter;
+        let length = min_request_bytes(request);
+        let on_wire = counter.start_request(length, server, self.metrics.clone());
+        *progress.request.borrow_mut() = Some(on_wire.clone());
+        if length.is_none() {
+            request.body_mut().ends(move || on_wire.end_with_next_byte());
+        }
+        let was_used = counter.written() > 0;
+        progress.connection_idle.set(was_used.then(|| connection.idle_since.elapsed()));
+    }
+}
+
+impl AttemptEnd {
+    /// The outcome. Whether a broken attempt may have executed rests on the bytes that went out and on nothing else.
+    /// `is_unsent` says that the agent or the client kept the request from being sent.
+    fn outcome(&self, may_have_executed: bool, is_unsent: bool) -> Outcome {
+        let outcome = match self {
+            AttemptEnd::Failed(error) => error.outcome(),
+            AttemptEnd::Cancelled => Some(Outcome::Cancelled),
+            AttemptEnd::TimedOut => Some(Outcome::TimedOut),
+        };
+        if may_have_executed {
+            outcome.unwrap_or(Outcome::ConnectionReset)
+        } else if is_unsent || outcome == Some(Outcome::NotSent) {
+            Outcome::NotSent
+        } else {
+            Outcome::ConnectFailed
+        }
+    }
+}
+
+/// The bytes of a request as they go out, or a few less: short of them, its last byte is not out. `None` before a body
+/// without a known length has ended.
+fn min_request_bytes(request: &Request<Outgoing>) -> Option<u64> {
+    let uri = request.uri();
+    let query = uri.query().map_or(0, |query| query.len() + "?".len());
+    let line = request.method().as_str().len() + " ".len() + uri.path().len() + query + " HTTP/1.1\r\n".len();
+    let header_bytes = |(name, value): (&hyper::header::HeaderName, &hyper::header::HeaderValue)| {
+        name.as_str().len() + value.len() + ": \r\n".len()
+    };
+    let headers: usize = request.headers().iter().map(header_bytes).sum();
+    let body = request.body().size_hint().exact()?;
+    Some((line + headers + "\r\n".len()) as u64 + body)
+}
--- /dev/null
+++ b/agent/src/upstream/connection.rs
@@ -0,0 +1,44 @@
+//! One HTTP connection to a server.
+
+use crate::traffic::body::{Outgoing, BUFFER};
+use crate::traffic::socket::Socket;
+use crate::upstream::connect::{connect, ConnectError};
+use crate::upstream::write_counter::{CountingSocket, WriteCounter};
+use hyper::client::conn::http1::{Builder, SendRequest};
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::task::JoinHandle;
+
+/// An open connection; dropping it closes it.
+pub struct HttpConnection {
+    /// Takes the requests.
+    pub sender: SendRequest<Outgoing>,
+    /// The socket under it.
+    pub socket: Socket,
+    /// What it has written.
+    pub counter: Rc<WriteCounter>,
+    task: JoinHandle<()>,
+}
+
+impl HttpConnection {
+    /// Opens a connection to `address`.
+    pub async fn open(address: SocketAddr) -> Result<Self, ConnectError> {
+        let socket = Socket::new(connect(address).await?);
+        let counter = Rc::<WriteCounter>::default();
+        let io = CountingSocket::new(socket.clone(), counter.clone());
+        let handshake = Builder::new().max_buf_size(BUFFER).handshake(io).await;
+        let (sender, driven) = handshake.map_err(|error| ConnectError::Remote(io::Error::other(error)))?;
+        let task = tokio::task::spawn_local(async move {
+            // How it ended shows at the sender and in the bytes written.
+            let _ = driven.await;
+        });
+        Ok(HttpConnection { sender, socket, counter, task })
+    }
+}
+
+impl Drop for HttpConnection {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
--- /dev/null
+++ b/agent/src/upstream/pool/tests.rs
@@ -0,0 +1,74 @@
+use super::*;
+use crate::metrics::Metrics;
+use crate::traffic::body::{Budget, Outgoing};
+use crate::upstream::attempt::{AttemptContext, AttemptProgress};
+use crate::upstream::exchange::Exchanger;
+use balancer::Outcome;
+use hyper::Request;
+
+/// A server ends an idle connection, or says half a line on it, in the moment before its next use; the
+/// connection's task has not run since, so only the system knows.
+#[tokio::test]
+async fn a_connection_that_ended_just_now_is_not_used() {
+    use std::io::{Read as _, Write as _};
+    let wait = Duration::from_secs(10);
+    let get = || Request::get("/a").header("host", "s").body(Outgoing::default()).expect("a request");
+    for end in [None, Some(&b"HTTP/1.1 40"[..])] {
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+        let dial = listener.local_addr().expect("an address").to_string();
+        let endpoint = serde_json::json!({"host": "s", "dial": dial, "site": "a", "health": "up"});
+        let list = serde_json::json!({"seq": 1, "whole": true, "hosts": [endpoint]});
+        let list = crate::endpoint_list::read_list(list.to_string().as_bytes(), 1).expect("a list");
+        // Answers one request on each of two connections and hands the connections out.
+        let answering = std::thread::spawn(move || {
+            [(); 2].map(|()| {
+                let (mut stream, _) = listener.accept().expect("a connection");
+                let mut head = Vec::new();
+                while !head.ends_with(b"\r\n\r\n") {
+                    let mut byte = [0; 1];
+                    stream.read_exact(&mut byte).expect("a request");
+                    head.extend(byte);
+                }
+                stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n").expect("sent");
+                stream
+            })
+        });
+        let budget = Rc::new(Budget::of(32, false));
+        let pool = Rc::new(ConnectionPool::new(4, wait, wait));
+        let exchanger = Exchanger::new(pool.clone(), budget, Vec::new());
+        let metrics = Metrics::new(1);
+        let context = AttemptContext { pool: &pool, exchanger: &exchanger, metrics: &metrics };
+        pool.update_endpoint(ServerId(1), &list.hosts[0]);
+        tokio::task::LocalSet::new()
+            .run_until(async {
+                let attempt = || async {
+                    let deadline = tokio::time::sleep(wait);
+                    let progress = AttemptProgress::default();
+                    context.run(ServerId(1), || Some(get()), None, deadline, &progress).await.outcome
+                };
+                // Two at once, so that two connections are idle.
+                let both = tokio::join!(attempt(), attempt());
+                assert_eq!(both, (Outcome::Success, Outcome::Success));
+                let mut streams = answering.join().expect("answered").into_iter();
+                let mut first = streams.next().expect("a connection");
+                match end {
+                    Some(bytes) => first.write_all(bytes).expect("sent"),
+                    None => drop(first.shutdown(std::net::Shutdown::Both)),
+                }
+                // From here on the runtime runs nothing before the next attempt has its connection.
+                let has_ended = || {
+                    let servers = pool.servers.borrow();
+                    let idle = &servers[&ServerId(1)].idle;
+                    assert_eq!(idle.len(), 2);
+                    idle.iter().any(|c| !c.http.socket.quiet())
+                };
+                while !has_ended() {}
+                // The most recently used one is tried first; whichever that is, the ended one must not be.
+                let taken = [pool.checkout(ServerId(1)).await, pool.checkout(ServerId(1)).await];
+                let used = taken.iter().flatten().filter(|c| c.http.counter.written() > 0);
+                assert!(used.clone().all(|c| c.http.socket.quiet()), "an ended one is used again");
+                assert_eq!(used.count(), 1, "the usable one is used");
+            })
+            .await;
+    }
+}
--- /dev/null
+++ b/agent/src/upstream/write_counter.rs
@@ -0,0 +1,155 @@
+//! Counts the bytes of a connection that the kernel has taken. From them, and from nothing else, follows whether a
+//! broken attempt may have executed.
+
+use crate::metrics::Metrics;
+use crate::traffic::socket::Socket;
+use balancer::ServerId;
+use hyper::rt::{Read, ReadBufCursor, Write};
+use hyper_util::rt::TokioIo;
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+
+/// The bytes that a connection has written so far, and whether it may write more. Shared by the connection's task and
+/// its user.
+#[derive(Default)]
+pub struct WriteCounter {
+    written: Cell<u64>,
+    writes_forbidden: Cell<bool>,
+    unsent_request: RefCell<Option<UnsentRequest>>,
+}
+
+/// The request that is being written, and where its last byte is recorded.
+struct UnsentRequest {
+    end: RequestEnd,
+    server: ServerId,
+    metrics: Rc<Metrics>,
+}
+
+/// The count of written bytes at which a request ends; `None` while its length is unknown.
+type RequestEnd = Rc<Cell<Option<u64>>>;
+
+impl WriteCounter {
+    /// The bytes that the kernel has taken.
+    pub fn written(&self) -> u64 {
+        self.written.get()
+    }
+
+    /// Starts a request of `length` bytes, if that is known. The metrics record its last byte.
+    pub fn start_request(
+        self: &Rc<Self>,
+        length: Option<u64>,
+        server: ServerId,
+        metrics: Rc<Metrics>,
+    ) -> RequestOnWire {
+        let end = RequestEnd::new(Cell::new(length.map(|length| self.written.get() + length)));
+        *self.unsent_request.borrow_mut() = Some(UnsentRequest { end: end.clone(), server, metrics });
+        RequestOnWire { counter: self.clone(), end }
+    }
+
+    fn record(&self, bytes: usize) {
+        let written = self.written.get() + bytes as u64;
+        self.written.set(written);
+        let sent = self.unsent_request.borrow_mut().take_if(|request| is_reached(&request.end, written));
+        if let Some(UnsentRequest { server, metrics, .. }) = sent {
+            metrics.sent(server);
+        }
+    }
+
+    /// Fails once writes are forbidden: not even what is queued already goes out.
+    fn check_allowed(&self) -> io::Result<()> {
+        if self.writes_forbidden.get() {
+            return Err(io::ErrorKind::ConnectionAborted.into());
+        }
+        Ok(())
+    }
+}
+
+fn is_reached(end: &RequestEnd, written: u64) -> bool {
+    end.get().is_some_and(|end| written >= end)
+}
+
+/// A request that goes over a connection.
+#[derive(Clone)]
+pub struct RequestOnWire {
+    counter: Rc<WriteCounter>,
+    end: RequestEnd,
+}
+
+impl RequestOnWire {
+    /// Whether its last byte has been written.
+    pub fn is_sent(&self) -> bool {
+        is_reached(&self.end, self.counter.written())
+    }
+
+    /// Stops its connection from writing.
+    pub fn forbid_writes(&self) {
+        self.counter.writes_forbidden.set(true);
+    }
+
+    /// A body of unknown length has ended: what marks its end is written next.
+    pub fn end_with_next_byte(&self) {
+        self.end.set(Some(self.counter.written() + 1));
+    }
+}
+
+/// A socket whose written bytes are counted.
+pub struct CountingSocket {
+    io: TokioIo<Socket>,
+    counter: Rc<WriteCounter>,
+}
+
+impl CountingSocket {
+    /// Counts what is written to `socket` with `counter`.
+    pub fn new(socket: Socket, counter: Rc<WriteCounter>) -> Self {
+        CountingSocket { io: TokioIo::new(socket), counter }
+    }
+
+    fn poll_counted(
+        &mut self,
+        write: impl FnOnce(Pin<&mut TokioIo<Socket>>) -> Poll<io::Result<usize>>,
+    ) -> Poll<io::Result<usize>> {
+        self.counter.check_allowed()?;
+        let bytes = ready!(write(Pin::new(&mut self.io)))?;
+        self.counter.record(bytes);
+        Poll::Ready(Ok(bytes))
+    }
+}
+
+impl Read for CountingSocket {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: ReadBufCursor<'_>,
+    ) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.io).poll_read(cx, buf)
+    }
+}
+
+impl Write for CountingSocket {
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        self.poll_counted(|io| io.poll_write(cx, buf))
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.io).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.io).poll_shutdown(cx)
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.io.is_write_vectored()
+    }
+
+    fn poll_write_vectored(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bufs: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        self.poll_counted(|io| io.poll_write_vectored(cx, bufs))
+    }
+}
--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,7 +5,7 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 33] = [
+const LAYERS: [&str; 42] = [
     "endpoint_list",
     "admin_api",
     "metrics",
@@ -18,6 +18,15 @@
     "traffic/pace",
     "traffic/body",
     "upstream/connect",
+    "upstream/errors",
+    "upstream/headers",
+    "upstream/load_report",
+    "upstream/write_counter",
+    "upstream/connection",
+    "upstream/pool",
+    "upstream/exchange",
+    "upstream/attempt",
+    "upstream/health_check",
     "upstream/client",
     "upstream/discovery",
     "peers/file",
