--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -16,7 +16,7 @@
 use crate::traffic::pace::turns;
 use crate::upstream::attempt::AttemptProgress;
 use crate::upstream::client::UpstreamClient;
-use crate::upstream::discovery::{Discovery, Listener, News, STEP};
+use crate::upstream::discovery::{DiscoveryClient, DiscoveryEvent, Listener, MAX_ENTRIES_PER_STEP};
 use crate::upstream::exchange::ExchangeResult;
 use balancer::{
     Action, AttemptNo, Balancer, EndpointCounts, EndpointUpdate, Event, Idempotency, Outcome, RequestId,
@@ -46,7 +46,7 @@
     queue: Queue,
     requests: Requests,
     servers: Servers,
-    discovery: Discovery,
+    discovery: DiscoveryClient,
 }
 
 /// Drives the balancer.
@@ -93,7 +93,7 @@
             queue: Queue::new(balancer, clock),
             requests: Requests::new(Log::new(clock.origin)),
             servers: Servers::new(config.servers_most, wall_clock.clone()),
-            discovery: Discovery::new(config.discovery, connect_timeout, config.servers_most),
+            discovery: DiscoveryClient::new(config.discovery, connect_timeout, config.servers_most),
         };
         let driver = Rc::new(Driver {
             clock,
@@ -352,34 +352,34 @@
     }
 
     /// What discovery says; whether there is more to be done about it than fits beside requests.
-    fn hear(self: &Rc<Self>, news: News) -> bool {
+    fn hear(self: &Rc<Self>, news: DiscoveryEvent) -> bool {
         self.wall_clock.check();
         let (update, more) = {
             let mut state = self.state.borrow_mut();
             let describe = |server, host: &_| self.upstream.update_endpoint(server, host);
             match news {
-                News::Called => {
+                DiscoveryEvent::CallStarted => {
                     state.servers.called();
                     return false;
                 }
-                News::Entries(entries) => {
+                DiscoveryEvent::Entries(entries) => {
                     let lines = state.servers.take(entries, &self.names, describe);
                     if lines.is_empty() {
                         return false;
                     }
                     (EndpointUpdate::Partial(lines), false)
                 }
-                News::Whole(_) | News::GoOn => {
-                    if let News::Whole(envelope) = news {
+                DiscoveryEvent::Complete(_) | DiscoveryEvent::Continue => {
+                    if let DiscoveryEvent::Complete(envelope) = news {
                         state.servers.ends(envelope);
                     }
-                    match state.servers.step(STEP, &self.names, describe) {
+                    match state.servers.step(MAX_ENTRIES_PER_STEP, &self.names, describe) {
                         (lines, true) => (EndpointUpdate::Changes(lines), false),
                         (lines, false) => (EndpointUpdate::Partial(lines), true),
                     }
                 }
-                News::Failed => (EndpointUpdate::Failed, false),
-                News::Senseless => (EndpointUpdate::Unusable, false),
+                DiscoveryEvent::Failed => (EndpointUpdate::Failed, false),
+                DiscoveryEvent::Unusable => (EndpointUpdate::Unusable, false),
             }
         };
         self.tell([Event::Endpoints(update)]);
@@ -403,7 +403,7 @@
         let mut state = self.state.borrow_mut();
         // Nobody says that both count versions alike.
         state.servers.seq = None;
-        state.discovery.moved(&self.listener(), address);
+        state.discovery.change_address(&self.listener(), address);
     }
 
     /// Wakes the balancer when a timer is due, and looks after idle connections; never ends.
@@ -471,7 +471,7 @@
             Action::CloseIdleConnections { server } => self.upstream.close_idle(server),
             Action::Watch { active } => {
                 let seq = state.servers.seq;
-                state.discovery.follow(&self.listener(), active, seq);
+                state.discovery.set_watch(&self.listener(), active, seq);
             }
             Action::FetchEndpoints => state.discovery.fetch(&self.listener()),
             // Agents of this deployment have no way to talk to each other, and the settings say so.
--- a/agent/src/upstream/connect.rs
+++ b/agent/src/upstream/connect.rs
@@ -18,7 +18,7 @@
 }
 
 /// Opens a connection to `address`, with no time limit of its own. Only errors of the calls that start it can be local:
-/// what comes later has come from the network, also where it bears the same number.
+/// what comes later has come from the network, also where it has the same number.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, ConnectError> {
     let socket = start_connect(address).map_err(|error| match is_local(&error) {
         true => ConnectError::Local(error),
--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,7 +5,7 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 42] = [
+const LAYERS: [&str; 44] = [
     "endpoint_list",
     "admin_api",
     "metrics",
@@ -28,6 +28,8 @@
     "upstream/attempt",
     "upstream/health_check",
     "upstream/client",
+    "upstream/discovery/errors",
+    "upstream/discovery/call",
     "upstream/discovery",
     "peers/file",
     "peers/writer",
