--- a/agent/src/downstream/server.rs
+++ b/agent/src/downstream/server.rs
@@ -2,10 +2,13 @@
 
 use crate::driver::requests::{Answer, Arrival, Content};
 use crate::driver::{Driver, ANSWER_TURNS};
-use crate::traffic::body::{Hold, Intake, Reply, Unread, BUFFER, KEPT_MOST, REQUEST_MOST};
+use crate::traffic::body_deadline::BodyDeadline;
+use crate::traffic::connection_timer::{yield_turns, ConnectionTimer, StartedRequest, TimedSocket};
 use crate::traffic::errors::{concerns_one_connection, is_shortage};
-use crate::traffic::lingering::Lingering;
-use crate::traffic::pace::{turns, Asked, Pace, Patience, Timed};
+use crate::traffic::lingering::LingeringCloses;
+use crate::traffic::memory_budget::{MemoryReservation, HTTP_BUFFER_BYTES, MAX_BUFFERED_BODY_BYTES};
+use crate::traffic::request_body::{BodyError, LongBody, RequestBodyStream, MAX_REQUEST_BODY_BYTES};
+use crate::traffic::response_body::ResponseBody;
 use crate::traffic::socket::Socket;
 use crate::upstream::exchange::ServedResponse;
 use crate::upstream::headers::forwarded_headers;
@@ -28,7 +31,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
+use tokio::sync::{watch, AcquireError, OwnedSemaphorePermit, Semaphore};
 use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
@@ -66,7 +69,7 @@
     /// Once the process has been told to end: every request has to be answered by then, whatever its client would wait.
     answer_by: watch::Sender<Option<Instant>>,
     places: std::sync::Arc<Semaphore>,
-    lingering: Lingering,
+    lingering: LingeringCloses,
 }
 
 impl Server {
@@ -78,7 +81,7 @@
             open: Cell::new(0),
             answer_by: watch::Sender::new(None),
             places: std::sync::Arc::new(Semaphore::new(connections)),
-            lingering: Lingering::default(),
+            lingering: LingeringCloses::default(),
         })
     }
 
@@ -131,7 +134,7 @@
             tokio::select! {
                 biased;
                 place = place.as_mut() => return place.ok(),
-                () = self.lingering.cut_oldest() => {}
+                () = self.lingering.abort_oldest() => {}
             }
         }
     }
@@ -180,25 +183,25 @@
         let mut stay = self.stay.subscribe();
         let late = matches!(*stay.borrow_and_update(), Stay::Ends | Stay::Closed);
         let server = self.clone();
-        let pace = Pace::new();
-        let client = (pace.clone(), socket.clone());
+        let timer = ConnectionTimer::new();
+        let client = (timer.clone(), socket.clone());
         let service = service_fn(move |request| {
-            let first = client.0.fresh();
-            server.clone().answer(request, client.0.head(), client.1.clone(), first)
+            let first = client.0.awaits_first_request();
+            server.clone().answer(request, client.0.start_request(), client.1.clone(), first)
         });
         let mut builder = http1::Builder::new();
         // Hyper's own time for a head would go by idle time and head together.
-        builder.header_read_timeout(None).keep_alive(!late).max_buf_size(BUFFER);
+        builder.header_read_timeout(None).keep_alive(!late).max_buf_size(HTTP_BUFFER_BYTES);
         let mut connection =
-            pin!(builder.serve_connection(Timed::new(socket.clone(), pace.clone()), service));
+            pin!(builder.serve_connection(TimedSocket::new(socket.clone(), timer.clone()), service));
         loop {
             // Whatever has come is heard before anything is closed. An error is the client's leaving or its bad bytes;
             // both concern this connection alone.
             tokio::select! {
                 biased;
                 _ = connection.as_mut() => return,
-                () = pace.overdue() => {
-                    if pace.stuck() || socket.quiet() {
+                () = timer.wait_until_overdue() => {
+                    if timer.is_write_blocked() || !socket.has_pending_input() {
                         return;
                     }
                     // The runtime has not heard of it yet.
@@ -206,9 +209,9 @@
                 }
                 Ok(()) = stay.changed() => match *stay.borrow_and_update() {
                     Stay::On | Stay::HandedOver => {}
-                    Stay::Ends | Stay::Closed if pace.busy() => connection.as_mut().graceful_shutdown(),
-                    Stay::Ends if pace.fresh() => {}
-                    Stay::Ends | Stay::Closed if pace.rests() && socket.quiet() => return,
+                    Stay::Ends | Stay::Closed if timer.has_active_request() => connection.as_mut().graceful_shutdown(),
+                    Stay::Ends if timer.awaits_first_request() => {}
+                    Stay::Ends | Stay::Closed if timer.is_idle() && !socket.has_pending_input() => return,
                     // A request is on its way here, and its answer says that it is the last.
                     Stay::Ends | Stay::Closed => {}
                 },
@@ -219,18 +222,18 @@
     async fn answer(
         self: Rc<Self>,
         request: Request<Incoming>,
-        (patience, asked): (Patience, Asked),
+        StartedRequest { body_deadline: patience, active: asked }: StartedRequest,
         socket: Socket,
         first: bool,
-    ) -> Result<Response<Reply>, Infallible> {
+    ) -> Result<Response<ResponseBody>, Infallible> {
         let answer = tokio::select! {
             biased;
             answer = self.take(request, patience) => answer,
             // Hyper does not look for the end of a connection while bytes stand before it. Nobody reads this.
-            () = socket.left() => Err(plain(StatusCode::BAD_REQUEST, "the client has left")),
+            () = socket.wait_for_peer_close() => Err(plain(StatusCode::BAD_REQUEST, "the client has left")),
         };
         let (Ok(mut answer) | Err(mut answer)) = answer;
-        answer.body_mut().answers(asked);
+        answer.body_mut().attach_request(asked);
         // When all places are taken, who comes waits in the system's queue, unheard while its time goes by, and the terms let
         // nobody who rests be closed for 2 s. So a connection goes with its first answer then; one that is used again stays.
         let crowded = first && self.places.available_permits() == 0;
@@ -243,8 +246,8 @@
     async fn take(
         &self,
         request: Request<Incoming>,
-        patience: Patience,
-    ) -> Result<Response<Reply>, Response<Reply>> {
+        patience: BodyDeadline,
+    ) -> Result<Response<ResponseBody>, Response<ResponseBody>> {
         // A deployment may have a class of this name, whose requests say so.
         let class = text(request.headers(), "x-priority-class") == Some("ready")
             && self.driver.names.classes.iter().any(|name| name == "ready");
@@ -260,8 +263,11 @@
         let arrival = match self.read(request, patience).await {
             Ok(arrival) => arrival,
             Err(bad) => {
-                let why =
-                    bad.body().as_whole().and_then(|why| std::str::from_utf8(why).ok()).unwrap_or_default();
+                let why = bad
+                    .body()
+                    .as_complete()
+                    .and_then(|why| std::str::from_utf8(why).ok())
+                    .unwrap_or_default();
                 let name = name.as_ref().and_then(|name| name.to_str().ok()).unwrap_or_default();
                 self.driver.turned_away(name, bad.status(), why.trim_end());
                 return Err(bad);
@@ -274,14 +280,14 @@
         let over = async {
             match &intake {
                 None => sleep_until(deadline + OVERDUE).await,
-                Some(intake) => sleep_until(intake.whole().await + wait + OVERDUE).await,
+                Some(intake) => sleep_until(intake.wait_until_complete().await + wait + OVERDUE).await,
             }
-            turns(2 * ANSWER_TURNS).await;
+            yield_turns(2 * ANSWER_TURNS).await;
         };
         let broken = async {
             match &intake {
                 None => std::future::pending().await,
-                Some(intake) => intake.broken().await,
+                Some(intake) => intake.wait_for_error().await,
             }
         };
         let answer = tokio::select! {
@@ -292,7 +298,7 @@
             () = over => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
             () = self.shutdown_due(intake.as_deref()) => plain(StatusCode::GATEWAY_TIMEOUT, "the agent ends"),
         };
-        if let Some(intake) = intake.filter(|intake| intake.whole_at().is_none()) {
+        if let Some(intake) = intake.filter(|intake| intake.completed_at().is_none()) {
             tokio::task::spawn_local(intake.discard());
         }
         Ok(answer)
@@ -300,12 +306,12 @@
 
     /// Ends when a request has to be answered because the process may be killed soon. One whose body is still coming is
     /// not owed an answer yet.
-    async fn shutdown_due(&self, body: Option<&Intake>) {
+    async fn shutdown_due(&self, body: Option<&RequestBodyStream>) {
         let mut answer_by = self.answer_by.subscribe();
         let due = answer_by.wait_for(Option::is_some).await.ok().and_then(|due| *due);
         if let Some(due) = due {
             sleep_until(due).await;
-            if body.is_none_or(|body| body.whole_at().is_some()) {
+            if body.is_none_or(|body| body.completed_at().is_some()) {
                 return;
             }
         }
@@ -316,36 +322,46 @@
     async fn collect(
         &self,
         mut body: Incoming,
-        mut patience: Patience,
+        mut patience: BodyDeadline,
         expects: bool,
         wait: Duration,
-    ) -> Result<Collected, Response<Reply>> {
+    ) -> Result<Collected, Response<ResponseBody>> {
         let hint = body.size_hint();
-        if hint.lower() > REQUEST_MOST {
-            return Err(unread(Unread::Long));
+        if hint.lower() > MAX_REQUEST_BODY_BYTES {
+            return Err(unread(BodyError::TooLong));
         }
         let mut kept = BytesMut::new();
         let mut waited = Duration::ZERO;
-        if hint.lower() <= KEPT_MOST as u64 {
-            let most = hint.exact().map_or(KEPT_MOST, |length| length as usize);
-            let room = self.room(self.driver.budget.request(most), &patience, wait).await?;
+        if hint.lower() <= MAX_BUFFERED_BODY_BYTES as u64 {
+            let most = hint.exact().map_or(MAX_BUFFERED_BODY_BYTES, |length| length as usize);
+            let room = self.room(self.driver.budget.reserve_request(most), &patience, wait).await?;
             waited = room.waited;
-            while kept.len() <= KEPT_MOST {
-                let frame =
-                    timeout_at(patience.due(), body.frame()).await.map_err(|_| unread(Unread::Late))?;
+            while kept.len() <= MAX_BUFFERED_BODY_BYTES {
+                let frame = timeout_at(patience.due(), body.frame())
+                    .await
+                    .map_err(|_| unread(BodyError::TimedOut))?;
                 let Some(frame) = frame else {
                     let content = Content::Kept { bytes: kept.freeze(), _hold: room.hold };
                     return Ok(Collected { content, waited });
                 };
-                let Ok(bytes) = frame.map_err(|_| unread(Unread::Broken))?.into_data() else { continue };
-                patience.came(bytes.len());
+                let Ok(bytes) = frame.map_err(|_| unread(BodyError::Broken))?.into_data() else { continue };
+                patience.record_bytes(bytes.len());
                 kept.extend_from_slice(&bytes);
             }
         }
-        let room = self.room(self.driver.budget.uploading(), &patience, wait.saturating_sub(waited)).await?;
+        let room = self
+            .room(self.driver.budget.reserve_streamed_request(), &patience, wait.saturating_sub(waited))
+            .await?;
         waited += room.waited;
         let came = Instant::now() - waited;
-        let content = Content::Passed(Intake::new(kept.freeze(), body, patience, expects, room.hold, came));
+        let content = Content::Passed(RequestBodyStream::new(LongBody {
+            first: kept.freeze(),
+            rest: body,
+            deadline: patience,
+            expects_continue: expects,
+            reservation: room.hold,
+            received_since: came,
+        }));
         Ok(Collected { content, waited })
     }
 
@@ -353,10 +369,10 @@
     /// when there is none.
     async fn room(
         &self,
-        room: impl Future<Output = std::io::Result<Hold>>,
-        patience: &Patience,
+        room: impl Future<Output = Result<MemoryReservation, AcquireError>>,
+        patience: &BodyDeadline,
         wait: Duration,
-    ) -> Result<Room, Response<Reply>> {
+    ) -> Result<Room, Response<ResponseBody>> {
         let asked = Instant::now();
         let due = patience.due().min(asked + wait.saturating_sub(ANSWER_ROOM));
         let hold = tokio::select! {
@@ -369,7 +385,11 @@
     }
 
     /// Reads a request whole; the error is the answer to a bad one.
-    async fn read(&self, request: Request<Incoming>, patience: Patience) -> Result<Arrival, Response<Reply>> {
+    async fn read(
+        &self,
+        request: Request<Incoming>,
+        patience: BodyDeadline,
+    ) -> Result<Arrival, Response<ResponseBody>> {
         let bad = |why: &str| plain(StatusCode::BAD_REQUEST, why);
         let (head, body) = request.into_parts();
         let names = &self.driver.names;
@@ -443,7 +463,7 @@
 
 /// Room for a body.
 struct Room {
-    hold: Hold,
+    hold: MemoryReservation,
     /// How long the body has waited for it.
     waited: Duration,
 }
@@ -492,7 +512,7 @@
     (!wait.is_zero() && wait <= WAIT_MOST).then_some(wait)
 }
 
-fn word(answer: Answer) -> Response<Reply> {
+fn word(answer: Answer) -> Response<ResponseBody> {
     match answer {
         Answer::Served(served) => {
             let ServedResponse { content_type: kind, content_length: length, body } = *served;
@@ -512,16 +532,16 @@
     }
 }
 
-fn unread(why: Unread) -> Response<Reply> {
+fn unread(why: BodyError) -> Response<ResponseBody> {
     match why {
-        Unread::Long => plain(StatusCode::PAYLOAD_TOO_LARGE, "a body holds at most 32 MB"),
-        Unread::Late => plain(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
-        Unread::Broken => plain(StatusCode::BAD_REQUEST, "the body did not come whole"),
+        BodyError::TooLong => plain(StatusCode::PAYLOAD_TOO_LARGE, "a body holds at most 32 MB"),
+        BodyError::TimedOut => plain(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
+        BodyError::Broken => plain(StatusCode::BAD_REQUEST, "the body did not come whole"),
     }
 }
 
-fn plain(status: StatusCode, why: &str) -> Response<Reply> {
-    let mut response = Response::new(Reply::whole(format!("{why}\n").into(), None));
+fn plain(status: StatusCode, why: &str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::complete(format!("{why}\n").into(), None));
     *response.status_mut() = status;
     let kind: (HeaderName, HeaderValue) = (CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     response.headers_mut().extend([kind]);
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -12,8 +12,9 @@
 use crate::config::Config;
 use crate::log::{Log, Tried};
 use crate::metrics::{Attempts, Counts, Metrics};
-use crate::traffic::body::{Budget, Step};
-use crate::traffic::pace::turns;
+use crate::traffic::connection_timer::yield_turns;
+use crate::traffic::memory_budget::MemoryBudget;
+use crate::traffic::request_body::BodyEvent;
 use crate::upstream::attempt::AttemptProgress;
 use crate::upstream::client::UpstreamClient;
 use crate::upstream::discovery::{DiscoveryClient, DiscoveryEvent, Listener, MAX_ENTRIES_PER_STEP};
@@ -62,7 +63,7 @@
     pub accepts: Cell<bool>,
     metrics: Rc<Metrics>,
     /// What may be held of bodies.
-    pub budget: Rc<Budget>,
+    pub budget: Rc<MemoryBudget>,
     upstream: Rc<UpstreamClient>,
     state: RefCell<State>,
     wake: Notify,
@@ -75,7 +76,7 @@
         let wall_clock = Rc::new(WallClock::new(clock));
         let effects = config.settings.classes.iter().map(|c| c.idempotency).collect();
         let metrics = Metrics::new(config.names.classes.len());
-        let budget = Rc::new(Budget::of(config.memory_mb, config.shared));
+        let budget = Rc::new(MemoryBudget::for_process(config.memory_mb, config.shared));
         let connect_timeout = Duration::from_micros(config.names.connect_timeout.0);
         let upstream = Rc::new(UpstreamClient::new(
             connections,
@@ -296,7 +297,7 @@
                 None => self.metrics.take(arrival.class.0),
                 Some(intake) => {
                     let driver = self.clone();
-                    intake.tells(move |step| driver.uploads(id, step));
+                    intake.set_listener(move |step| driver.uploads(id, step));
                     self.metrics.upload(arrival.class.0)
                 }
             };
@@ -313,15 +314,15 @@
     }
 
     /// A long body has taken a step.
-    fn uploads(self: &Rc<Self>, id: RequestId, step: Step) {
+    fn uploads(self: &Rc<Self>, id: RequestId, step: BodyEvent) {
         {
             let mut state = self.state.borrow_mut();
             let Some(open) = state.requests.open.get_mut(&id) else { return };
             let event = match step {
-                Step::Spent => Event::BodyConsumed { request: id },
-                Step::Whole => {
+                BodyEvent::Consumed => Event::BodyConsumed { request: id },
+                BodyEvent::Complete => {
                     open.taken.whole();
-                    let whole_at = open.parts.intake().and_then(|intake| intake.whole_at());
+                    let whole_at = open.parts.intake().and_then(|intake| intake.completed_at());
                     let spent = whole_at.map_or(Duration::ZERO, |whole| whole.elapsed());
                     let time_left = Span(open.parts.wait().saturating_sub(spent).as_micros() as u64);
                     Event::BodyComplete { request: id, time_left }
@@ -503,9 +504,9 @@
             let over = async {
                 match &upload {
                     None => sleep_until(until).await,
-                    Some(upload) => upload.over(wait).await,
+                    Some(upload) => upload.wait_for_attempt_timeout(wait).await,
                 }
-                turns(ANSWER_TURNS).await;
+                yield_turns(ANSWER_TURNS).await;
             };
             // Its connection may have taken a good part of the wait to come up: what is told is what is left by then.
             let begin = || {
@@ -516,12 +517,12 @@
                 };
                 let left = match &upload {
                     None => until.saturating_duration_since(now),
-                    Some(upload) => wait.saturating_sub(upload.unread()),
+                    Some(upload) => wait.saturating_sub(upload.unread_time()),
                 };
                 may_begin.then(|| outgoing(&parts, left))
             };
             let ended = driver.upstream.send_attempt(server, begin, parts.intake(), over, &progress).await;
-            let since = upload.and_then(|upload| upload.whole_at()).map_or(sent, |whole| whole.max(sent));
+            let since = upload.and_then(|upload| upload.completed_at()).map_or(sent, |whole| whole.max(sent));
             driver.ended((request, attempt), server, ended, since);
         });
     }
@@ -529,7 +530,7 @@
     /// An attempt is over: the first that is served answers its request.
     fn ended(self: &Rc<Self>, key: (RequestId, u32), server: ServerId, ended: ExchangeResult, sent: Instant) {
         let elapsed = Span(sent.elapsed().as_micros() as u64);
-        let broken = |open: &Open| open.parts.intake().is_some_and(|intake| intake.is_broken());
+        let broken = |open: &Open| open.parts.intake().is_some_and(|intake| intake.has_failed());
         if self.state.borrow().requests.open.get(&key.0).is_some_and(broken) {
             // What its client has not sent whole is no request, and there is nothing to decide any more.
             self.gone(key.0);
--- a/agent/src/driver/requests.rs
+++ b/agent/src/driver/requests.rs
@@ -2,7 +2,9 @@
 
 use crate::log::{self, Log, Tried};
 use crate::metrics::{End, Taken};
-use crate::traffic::body::{Hold, Intake, Outgoing};
+use crate::traffic::attempt_body::AttemptBody;
+use crate::traffic::memory_budget::MemoryReservation;
+use crate::traffic::request_body::RequestBodyStream;
 use crate::upstream::attempt::AttemptProgress;
 use crate::upstream::exchange::ServedResponse;
 use balancer::{ClassId, KeyId, RequestId, Span, TenantId};
@@ -49,14 +51,14 @@
 /// The body of a request.
 pub enum Content {
     /// There whole, for as long as the request is.
-    Kept { bytes: Bytes, _hold: Hold },
+    Kept { bytes: Bytes, _hold: MemoryReservation },
     /// Passed on as it comes.
-    Passed(Rc<Intake>),
+    Passed(Rc<RequestBodyStream>),
 }
 
 impl Arrival {
     /// Its body, if that is passed on as it comes.
-    pub fn intake(&self) -> Option<&Rc<Intake>> {
+    pub fn intake(&self) -> Option<&Rc<RequestBodyStream>> {
         match &self.body {
             Content::Kept { .. } => None,
             Content::Passed(intake) => Some(intake),
@@ -148,7 +150,7 @@
         let Some(open) = self.open.remove(&id) else { return };
         self.stop_unwritten(id, open.taken.sends);
         self.note(&open, End::Served, names, Some(by));
-        served.body.ends(open.taken, broke);
+        served.body.end_request_with(open.taken, broke);
         let _ = open.answer.send(Answer::Served(Box::new(served)));
     }
 
@@ -209,10 +211,10 @@
 }
 
 /// What goes to a backend: the request unchanged, and how long the agent will wait.
-pub fn outgoing(parts: &Arrival, wait: Duration) -> Request<Outgoing> {
+pub fn outgoing(parts: &Arrival, wait: Duration) -> Request<AttemptBody> {
     let body = match &parts.body {
-        Content::Kept { bytes, .. } => Outgoing::Kept(Full::new(bytes.clone())),
-        Content::Passed(intake) => Outgoing::of(intake),
+        Content::Kept { bytes, .. } => AttemptBody::Buffered(Full::new(bytes.clone())),
+        Content::Passed(intake) => AttemptBody::streamed(intake),
     };
     let length = body.size_hint().exact();
     let mut request = Request::new(body);
--- a/agent/src/traffic/errors.rs
+++ b/agent/src/traffic/errors.rs
@@ -1,4 +1,4 @@
-//! What the errors of the system's calls on sockets say: of one connection, or of the agent's own want.
+//! Classifies the errors of system calls on sockets: those of one connection, and the agent's own shortages.
 
 use std::io;
 
--- a/agent/src/traffic/lingering/tests.rs
+++ b/agent/src/traffic/lingering/tests.rs
@@ -6,19 +6,22 @@
 
 const MS: Duration = Duration::from_millis(1);
 /// Longer than any close may linger.
-const LINGER_MOST: Duration = Duration::from_secs(1);
+const LONGER_THAN_ANY_LINGER: Duration = Duration::from_secs(1);
 
-/// Cut are those that have lingered longest, one for each place that is needed, none before its least time, and none
-/// while nobody needs its place. The clock is the test's.
+/// Aborted are those that have lingered longest, one for each slot that is needed, none before its least time, and none
+/// while nobody needs its slot. The clock is the test's.
 #[tokio::test(start_paused = true)]
-async fn the_longest_lingering_close_is_cut_short_when_its_place_is_needed() {
+async fn the_longest_lingering_close_is_aborted_when_its_slot_is_needed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let local = LocalSet::new();
     local
         .run_until(async {
-            let lingering = Rc::new(Lingering::default());
-            assert!(timeout(LINGER_MOST, lingering.cut_oldest()).await.is_err(), "there is none yet");
+            let lingering = Rc::new(LingeringCloses::default());
+            assert!(
+                timeout(LONGER_THAN_ANY_LINGER, lingering.abort_oldest()).await.is_err(),
+                "there is none yet"
+            );
             let (mut peers, mut closes) = (Vec::new(), Vec::new());
             for _ in 0..3 {
                 peers.push(std::net::TcpStream::connect(address).expect("a connection"));
@@ -27,23 +30,23 @@
                 closes.push(spawn_local(async move { lingering.close(Socket::new(stream)).await }));
                 sleep(10 * MS).await;
             }
-            let over = |closes: &[tokio::task::JoinHandle<()>]| {
+            let ended = |closes: &[tokio::task::JoinHandle<()>]| {
                 closes.iter().map(|close| close.is_finished()).collect::<Vec<_>>()
             };
             let waited = Instant::now();
-            lingering.cut_oldest().await;
-            assert!(waited.elapsed() >= LINGER_LEAST - 30 * MS, "{:?}", waited.elapsed());
-            assert_eq!(over(&closes), [true, false, false]);
+            lingering.abort_oldest().await;
+            assert!(waited.elapsed() >= MIN_LINGER - 30 * MS, "{:?}", waited.elapsed());
+            assert_eq!(ended(&closes), [true, false, false]);
             sleep(100 * MS).await;
-            assert_eq!(over(&closes), [true, false, false], "cut though nobody needs the place");
-            lingering.cut_oldest().await;
-            assert_eq!(over(&closes), [true, true, false]);
-            // The last one's peer ends its side; there is nothing left to cut.
+            assert_eq!(ended(&closes), [true, false, false], "aborted though nobody needs the slot");
+            lingering.abort_oldest().await;
+            assert_eq!(ended(&closes), [true, true, false]);
+            // The last one's peer ends its side; there is nothing left to abort.
             drop(peers);
             while !closes[2].is_finished() {
                 tokio::task::yield_now().await;
             }
-            assert!(timeout(LINGER_MOST, lingering.cut_oldest()).await.is_err());
+            assert!(timeout(LONGER_THAN_ANY_LINGER, lingering.abort_oldest()).await.is_err());
         })
         .await;
 }
--- a/agent/src/traffic/mod.rs
+++ b/agent/src/traffic/mod.rs
@@ -1,7 +1,12 @@
-//! What both sides of the agent share: bodies on their way, the pace at which they come, and the errors of sockets.
+//! What both sides of the agent share: sockets and how they close, bodies and the memory that they take, and how long a
+//! client may take.
 
-pub mod body;
+pub mod attempt_body;
+pub mod body_deadline;
+pub mod connection_timer;
 pub mod errors;
 pub mod lingering;
-pub mod pace;
+pub mod memory_budget;
+pub mod request_body;
+pub mod response_body;
 pub mod socket;
--- /dev/null
+++ b/agent/src/traffic/response_body.rs
@@ -0,0 +1,148 @@
+//! The body of a response on its way to the client.
+
+use crate::metrics::{End, Taken};
+use crate::traffic::body_deadline::STALL_TIMEOUT;
+use crate::traffic::connection_timer::ActiveRequest;
+use crate::traffic::memory_budget::MemoryReservation;
+use bytes::Bytes;
+use hyper::body::{Body, Frame, Incoming, SizeHint};
+use std::collections::VecDeque;
+use std::future::Future;
+use std::io;
+use std::pin::Pin;
+use std::task::{Context, Poll};
+use tokio::time::{sleep, Instant, Sleep};
+
+/// Gives the connection of a response back after its last byte; dropped uncalled, it ends the connection.
+pub type ReturnConnection = Box<dyn FnOnce()>;
+
+/// A response body as the client gets it.
+pub struct ResponseBody {
+    buffered: VecDeque<Bytes>,
+    stream: Option<ResponseStream>,
+    _reservation: Option<MemoryReservation>,
+    /// The client's request is active until this is dropped.
+    request: Option<ActiveRequest>,
+}
+
+/// The part of a response that its server has still to send.
+struct ResponseStream {
+    body: Incoming,
+    /// Its connection is used again after a complete response and ends with a broken one.
+    return_connection: ReturnConnection,
+    /// The metrics of its request, which ends with it.
+    taken: Option<Taken>,
+    /// Called if it breaks off.
+    on_abort: Option<Box<dyn FnOnce()>>,
+    stall: Pin<Box<Sleep>>,
+}
+
+impl ResponseBody {
+    /// A body that is buffered completely.
+    pub fn complete(body: Bytes, reservation: Option<MemoryReservation>) -> Self {
+        let buffered = if body.is_empty() { VecDeque::new() } else { VecDeque::from([body]) };
+        ResponseBody { buffered, stream: None, _reservation: reservation, request: None }
+    }
+
+    /// A body whose beginning is buffered and whose rest is streamed.
+    pub fn streamed(
+        buffered: VecDeque<Bytes>,
+        body: Incoming,
+        return_connection: ReturnConnection,
+        reservation: MemoryReservation,
+    ) -> Self {
+        let stall = Box::pin(sleep(STALL_TIMEOUT));
+        let stream = ResponseStream { body, return_connection, taken: None, on_abort: None, stall };
+        ResponseBody { buffered, stream: Some(stream), _reservation: Some(reservation), request: None }
+    }
+
+    /// The body, if it is buffered completely.
+    pub fn as_complete(&self) -> Option<&[u8]> {
+        match &self.stream {
+            None => Some(self.buffered.front().map_or(&[], |bytes| bytes)),
+            Some(_) => None,
+        }
+    }
+
+    /// Keeps the client's request active until this body is dropped.
+    pub fn attach_request(&mut self, request: ActiveRequest) {
+        self.request = Some(request);
+    }
+
+    /// Ends the request in the metrics with this body; `on_abort` is called if that breaks off.
+    pub fn end_request_with(&mut self, taken: Taken, on_abort: impl FnOnce() + 'static) {
+        match &mut self.stream {
+            None => taken.end(End::Served),
+            Some(stream) => {
+                stream.taken = Some(taken);
+                stream.on_abort = Some(Box::new(on_abort));
+            }
+        }
+    }
+
+    fn finish(&mut self, end: End) {
+        let Some(stream) = self.stream.take() else { return };
+        if let Some(taken) = stream.taken {
+            taken.end(end);
+        }
+        match end {
+            End::Served => (stream.return_connection)(),
+            _ => stream.on_abort.into_iter().for_each(|on_abort| on_abort()),
+        }
+    }
+}
+
+impl Body for ResponseBody {
+    type Data = Bytes;
+    type Error = io::Error;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+        let this = &mut *self;
+        if let Some(bytes) = this.buffered.pop_front() {
+            return Poll::Ready(Some(Ok(Frame::data(bytes))));
+        }
+        let Some(stream) = &mut this.stream else { return Poll::Ready(None) };
+        match Pin::new(&mut stream.body).poll_frame(cx) {
+            Poll::Ready(Some(Ok(frame))) => {
+                stream.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
+                // Past the last byte of a known length, or past trailers, nobody polls for more.
+                if stream.body.is_end_stream() || frame.is_trailers() {
+                    this.finish(End::Served);
+                }
+                Poll::Ready(Some(Ok(frame)))
+            }
+            Poll::Ready(Some(Err(error))) => {
+                this.finish(End::Failed);
+                Poll::Ready(Some(Err(io::Error::other(error))))
+            }
+            Poll::Ready(None) => {
+                this.finish(End::Served);
+                Poll::Ready(None)
+            }
+            Poll::Pending if stream.stall.as_mut().poll(cx).is_ready() => {
+                this.finish(End::Failed);
+                Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())))
+            }
+            Poll::Pending => Poll::Pending,
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.buffered.is_empty() && self.stream.is_none()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        let buffered: u64 = self.buffered.iter().map(|bytes| bytes.len() as u64).sum();
+        let Some(stream) = &self.stream else { return SizeHint::with_exact(buffered) };
+        let rest = stream.body.size_hint();
+        let mut hint = SizeHint::new();
+        hint.set_lower(buffered + rest.lower());
+        if let Some(upper) = rest.upper() {
+            hint.set_upper(buffered + upper);
+        }
+        hint
+    }
+}
--- a/agent/src/upstream/attempt.rs
+++ b/agent/src/upstream/attempt.rs
@@ -1,7 +1,8 @@
 //! One attempt: it gets a connection, sends its request and waits for the response.
 
 use crate::metrics::Metrics;
-use crate::traffic::body::{Intake, Outgoing};
+use crate::traffic::attempt_body::AttemptBody;
+use crate::traffic::request_body::RequestBodyStream;
 use crate::upstream::errors::AttemptError;
 use crate::upstream::exchange::{ExchangeResult, Exchanger};
 use crate::upstream::pool::{ConnectionPool, PooledConnection};
@@ -66,8 +67,8 @@
     pub async fn run(
         &self,
         server: ServerId,
-        build_request: impl FnOnce() -> Option<Request<Outgoing>>,
-        body: Option<&Rc<Intake>>,
+        build_request: impl FnOnce() -> Option<Request<AttemptBody>>,
+        body: Option<&Rc<RequestBodyStream>>,
         deadline: impl Future<Output = ()>,
         progress: &AttemptProgress,
     ) -> ExchangeResult {
@@ -81,7 +82,7 @@
             () = deadline => AttemptEnd::TimedOut,
         };
         // A client that sends no more has ended it, and neither the server nor the network.
-        let is_unsent = progress.is_cancelled.get() || body.is_some_and(|body| body.is_broken());
+        let is_unsent = progress.is_cancelled.get() || body.is_some_and(|body| body.has_failed());
         let outcome = end.outcome(progress.may_have_executed(), is_unsent);
         let error = match end {
             AttemptEnd::Failed(error) => Some(error),
@@ -97,7 +98,7 @@
     async fn connect_and_exchange(
         &self,
         server: ServerId,
-        build_request: impl FnOnce() -> Option<Request<Outgoing>>,
+        build_request: impl FnOnce() -> Option<Request<AttemptBody>>,
         progress: &AttemptProgress,
     ) -> Result<ExchangeResult, AttemptError> {
         let connection = self.pool.checkout(server).await?;
@@ -119,7 +120,7 @@
         &self,
         server: ServerId,
         connection: &PooledConnection,
-        request: &mut Request<Outgoing>,
+        request: &mut Request<AttemptBody>,
         progress: &AttemptProgress,
     ) {
         let counter = &connection.http.counter;
@@ -127,7 +128,7 @@
         let on_wire = counter.start_request(length, server, self.metrics.clone());
         *progress.request.borrow_mut() = Some(on_wire.clone());
         if length.is_none() {
-            request.body_mut().ends(move || on_wire.end_with_next_byte());
+            request.body_mut().set_on_end(move || on_wire.end_with_next_byte());
         }
         let was_used = counter.written() > 0;
         progress.connection_idle.set(was_used.then(|| connection.idle_since.elapsed()));
@@ -155,7 +156,7 @@
 
 /// The bytes of a request as they go out, or a few less: short of them, its last byte is not out. `None` before a body
 /// without a known length has ended.
-fn min_request_bytes(request: &Request<Outgoing>) -> Option<u64> {
+fn min_request_bytes(request: &Request<AttemptBody>) -> Option<u64> {
     let uri = request.uri();
     let query = uri.query().map_or(0, |query| query.len() + "?".len());
     let line = request.method().as_str().len() + " ".len() + uri.path().len() + query + " HTTP/1.1\r\n".len();
--- a/agent/src/upstream/client.rs
+++ b/agent/src/upstream/client.rs
@@ -2,7 +2,9 @@
 
 use crate::endpoint_list::Host;
 use crate::metrics::Metrics;
-use crate::traffic::body::{Budget, Intake, Outgoing};
+use crate::traffic::attempt_body::AttemptBody;
+use crate::traffic::memory_budget::MemoryBudget;
+use crate::traffic::request_body::RequestBodyStream;
 use crate::upstream::attempt::{AttemptContext, AttemptProgress};
 use crate::upstream::exchange::{ExchangeResult, Exchanger};
 use crate::upstream::health_check::check_health;
@@ -26,7 +28,7 @@
     pub fn new(
         max_connections: usize,
         metrics: Rc<Metrics>,
-        budget: Rc<Budget>,
+        budget: Rc<MemoryBudget>,
         connect_timeout: Duration,
         keepalive: Duration,
         load_report_fields: Vec<String>,
@@ -65,8 +67,8 @@
     pub async fn send_attempt(
         &self,
         server: ServerId,
-        build_request: impl FnOnce() -> Option<Request<Outgoing>>,
-        body: Option<&Rc<Intake>>,
+        build_request: impl FnOnce() -> Option<Request<AttemptBody>>,
+        body: Option<&Rc<RequestBodyStream>>,
         deadline: impl Future<Output = ()>,
         progress: &AttemptProgress,
     ) -> ExchangeResult {
--- a/agent/src/upstream/client/tests.rs
+++ b/agent/src/upstream/client/tests.rs
@@ -13,10 +13,10 @@
     let list = crate::endpoint_list::read_list(list.to_string().as_bytes(), 1).expect("a list");
     let wait = Duration::from_secs(10);
     for (slots, outcome) in [(0, Outcome::NotSent), (1, Outcome::ConnectFailed)] {
-        let budget = Rc::new(Budget::of(32, false));
+        let budget = Rc::new(MemoryBudget::for_process(32, false));
         let upstream = Rc::new(UpstreamClient::new(slots, Metrics::new(1), budget, wait, wait, Vec::new()));
         upstream.update_endpoint(ServerId(1), &list.hosts[0]);
-        let request = Request::get("/a").header("host", "s").body(Outgoing::default()).expect("a request");
+        let request = Request::get("/a").header("host", "s").body(AttemptBody::default()).expect("a request");
         let progress = AttemptProgress::default();
         let deadline = tokio::time::sleep(wait);
         let attempt = upstream.send_attempt(ServerId(1), || Some(request), None, deadline, &progress);
--- a/agent/src/upstream/connection.rs
+++ b/agent/src/upstream/connection.rs
@@ -1,6 +1,7 @@
 //! One HTTP connection to a server.
 
-use crate::traffic::body::{Outgoing, BUFFER};
+use crate::traffic::attempt_body::AttemptBody;
+use crate::traffic::memory_budget::HTTP_BUFFER_BYTES;
 use crate::traffic::socket::Socket;
 use crate::upstream::connect::{connect, ConnectError};
 use crate::upstream::write_counter::{CountingSocket, WriteCounter};
@@ -13,7 +14,7 @@
 /// An open connection; dropping it closes it.
 pub struct HttpConnection {
     /// Takes the requests.
-    pub sender: SendRequest<Outgoing>,
+    pub sender: SendRequest<AttemptBody>,
     /// The socket under it.
     pub socket: Socket,
     /// What it has written.
@@ -27,7 +28,7 @@
         let socket = Socket::new(connect(address).await?);
         let counter = Rc::<WriteCounter>::default();
         let io = CountingSocket::new(socket.clone(), counter.clone());
-        let handshake = Builder::new().max_buf_size(BUFFER).handshake(io).await;
+        let handshake = Builder::new().max_buf_size(HTTP_BUFFER_BYTES).handshake(io).await;
         let (sender, driven) = handshake.map_err(|error| ConnectError::Remote(io::Error::other(error)))?;
         let task = tokio::task::spawn_local(async move {
             // How it ended shows at the sender and in the bytes written.
--- a/agent/src/upstream/errors.rs
+++ b/agent/src/upstream/errors.rs
@@ -3,7 +3,7 @@
 use crate::upstream::connect::ConnectError;
 use balancer::Outcome;
 use std::error::Error;
-use std::io;
+use tokio::sync::AcquireError;
 
 /// The longest reason that is logged for a broken exchange.
 const MAX_REASON_CHARS: usize = 80;
@@ -49,7 +49,7 @@
     ErrorBody(#[source] Box<dyn Error + Send + Sync>),
     /// The memory budget gives out no more.
     #[error("{}", reason(.0))]
-    Memory(#[from] io::Error),
+    Memory(#[from] AcquireError),
 }
 
 /// Why an attempt ended without a response.
--- a/agent/src/upstream/exchange.rs
+++ b/agent/src/upstream/exchange.rs
@@ -1,6 +1,8 @@
 //! One request and its response over a connection.
 
-use crate::traffic::body::{Budget, Outgoing, Reply, KEPT_MOST};
+use crate::traffic::attempt_body::AttemptBody;
+use crate::traffic::memory_budget::{MemoryBudget, MAX_BUFFERED_BODY_BYTES};
+use crate::traffic::response_body::ResponseBody;
 use crate::upstream::errors::{AttemptError, ExchangeError};
 use crate::upstream::load_report::parse_load_report;
 use crate::upstream::pool::{ConnectionPool, PooledConnection};
@@ -56,20 +58,20 @@
     /// The length of the body that it would have, if only its head was requested.
     pub content_length: Option<HeaderValue>,
     /// The body, as far as it has come.
-    pub body: Reply,
+    pub body: ResponseBody,
 }
 
 /// Runs exchanges on connections of a pool.
 pub struct Exchanger {
     pool: Rc<ConnectionPool>,
-    budget: Rc<Budget>,
+    budget: Rc<MemoryBudget>,
     load_report_fields: Vec<String>,
 }
 
 impl Exchanger {
     /// Gives connections back to `pool`, keeps response bodies within `budget`, and reads the named fields of load
     /// reports.
-    pub fn new(pool: Rc<ConnectionPool>, budget: Rc<Budget>, load_report_fields: Vec<String>) -> Self {
+    pub fn new(pool: Rc<ConnectionPool>, budget: Rc<MemoryBudget>, load_report_fields: Vec<String>) -> Self {
         Exchanger { pool, budget, load_report_fields }
     }
 
@@ -83,7 +85,7 @@
     pub async fn exchange(
         &self,
         mut connection: PooledConnection,
-        request: Request<Outgoing>,
+        request: Request<AttemptBody>,
     ) -> Result<ExchangeResult, ExchangeError> {
         let is_head = request.method() == Method::HEAD;
         let response = connection.http.sender.send_request(request).await?;
@@ -127,7 +129,7 @@
         connection: PooledConnection,
         body: Incoming,
     ) -> Result<(), ExchangeError> {
-        match Limited::new(body, KEPT_MOST).collect().await {
+        match Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect().await {
             Ok(_) => self.pool.check_in_when_ready(connection).await,
             Err(error) if error.is::<LengthLimitError>() => {}
             Err(error) => return Err(ExchangeError::ErrorBody(error)),
@@ -139,23 +141,26 @@
         &self,
         connection: PooledConnection,
         mut body: Incoming,
-    ) -> Result<Reply, ExchangeError> {
+    ) -> Result<ResponseBody, ExchangeError> {
         let length = body.size_hint().exact();
         let mut chunks = VecDeque::new();
-        if length.is_none_or(|length| length <= KEPT_MOST as u64) {
-            let reservation = self.budget.answer(length.map_or(KEPT_MOST, |length| length as usize)).await?;
+        if length.is_none_or(|length| length <= MAX_BUFFERED_BODY_BYTES as u64) {
+            let reservation = self
+                .budget
+                .reserve_response(length.map_or(MAX_BUFFERED_BODY_BYTES, |length| length as usize))
+                .await?;
             let until = length.is_none().then(|| Instant::now() + HOLD_BACK);
             if read_short_body(&mut body, &mut chunks, until).await? {
                 self.pool.check_in_when_ready(connection).await;
-                return Ok(Reply::whole(concatenate(chunks), Some(reservation)));
+                return Ok(ResponseBody::complete(concatenate(chunks), Some(reservation)));
             }
         }
-        let reservation = self.budget.passing().await?;
+        let reservation = self.budget.reserve_streamed_response().await?;
         let pool = self.pool.clone();
         let check_in = move || {
             tokio::task::spawn_local(async move { pool.check_in_when_ready(connection).await });
         };
-        Ok(Reply::begun(chunks, body, Box::new(check_in), reservation))
+        Ok(ResponseBody::streamed(chunks, body, Box::new(check_in), reservation))
     }
 }
 
@@ -166,7 +171,7 @@
     until: Option<Instant>,
 ) -> Result<bool, hyper::Error> {
     let mut size = 0;
-    while size <= KEPT_MOST {
+    while size <= MAX_BUFFERED_BODY_BYTES {
         let frame = match until {
             None => body.frame().await,
             Some(until) => match timeout_at(until, body.frame()).await {
--- a/agent/src/upstream/health_check.rs
+++ b/agent/src/upstream/health_check.rs
@@ -1,6 +1,6 @@
 //! Health checks: they request a server's health, and its load where it reports that.
 
-use crate::traffic::body::Outgoing;
+use crate::traffic::attempt_body::AttemptBody;
 use crate::upstream::exchange::{ExchangeResult, Exchanger};
 use crate::upstream::load_report::parse_load_report;
 use crate::upstream::pool::ConnectionPool;
@@ -31,7 +31,7 @@
 ) -> ExchangeResult {
     let fields = exchanger.load_report_fields();
     let path = if fields.is_empty() { "/health" } else { "/status/load" };
-    let request = Request::get(path).header("host", "backend").body(Outgoing::default());
+    let request = Request::get(path).header("host", "backend").body(AttemptBody::default());
     let Ok(request) = request else { return ExchangeResult::without_response(Outcome::NotSent) };
     let connection = match pool.checkout(server).await {
         Ok(connection) => connection,
@@ -41,7 +41,7 @@
         return ExchangeResult::without_response(Outcome::ConnectionReset);
     };
     if result.load_report.is_none() {
-        let body = result.response.as_ref().and_then(|response| response.body.as_whole());
+        let body = result.response.as_ref().and_then(|response| response.body.as_complete());
         let text = body.and_then(|body| std::str::from_utf8(body).ok());
         result.load_report = text.and_then(|text| parse_load_report(text, fields));
     }
--- a/agent/src/upstream/pool.rs
+++ b/agent/src/upstream/pool.rs
@@ -168,7 +168,7 @@
             let is_ready =
                 connection.idle_since.elapsed() < self.max_idle && connection.http.sender.is_ready();
             // Its end, or half a line, may have come without the connection's task having run since.
-            if is_ready && connection.http.socket.quiet() {
+            if is_ready && !connection.http.socket.has_pending_input() {
                 return Some(connection);
             }
         }
--- a/agent/src/upstream/pool/tests.rs
+++ b/agent/src/upstream/pool/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::metrics::Metrics;
-use crate::traffic::body::{Budget, Outgoing};
+use crate::traffic::attempt_body::AttemptBody;
+use crate::traffic::memory_budget::MemoryBudget;
 use crate::upstream::attempt::{AttemptContext, AttemptProgress};
 use crate::upstream::exchange::Exchanger;
 use balancer::Outcome;
@@ -12,7 +13,7 @@
 async fn a_connection_that_ended_just_now_is_not_used() {
     use std::io::{Read as _, Write as _};
     let wait = Duration::from_secs(10);
-    let get = || Request::get("/a").header("host", "s").body(Outgoing::default()).expect("a request");
+    let get = || Request::get("/a").header("host", "s").body(AttemptBody::default()).expect("a request");
     for end in [None, Some(&b"HTTP/1.1 40"[..])] {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let dial = listener.local_addr().expect("an address").to_string();
@@ -33,7 +34,7 @@
                 stream
             })
         });
-        let budget = Rc::new(Budget::of(32, false));
+        let budget = Rc::new(MemoryBudget::for_process(32, false));
         let pool = Rc::new(ConnectionPool::new(4, wait, wait));
         let exchanger = Exchanger::new(pool.clone(), budget, Vec::new());
         let metrics = Metrics::new(1);
@@ -60,13 +61,16 @@
                     let servers = pool.servers.borrow();
                     let idle = &servers[&ServerId(1)].idle;
                     assert_eq!(idle.len(), 2);
-                    idle.iter().any(|c| !c.http.socket.quiet())
+                    idle.iter().any(|c| c.http.socket.has_pending_input())
                 };
                 while !has_ended() {}
                 // The most recently used one is tried first; whichever that is, the ended one must not be.
                 let taken = [pool.checkout(ServerId(1)).await, pool.checkout(ServerId(1)).await];
                 let used = taken.iter().flatten().filter(|c| c.http.counter.written() > 0);
-                assert!(used.clone().all(|c| c.http.socket.quiet()), "an ended one is used again");
+                assert!(
+                    used.clone().all(|c| !c.http.socket.has_pending_input()),
+                    "an ended one is used again"
+                );
                 assert_eq!(used.count(), 1, "the usable one is used");
             })
             .await;
--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,7 +5,7 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 44] = [
+const LAYERS: [&str; 49] = [
     "endpoint_list",
     "admin_api",
     "metrics",
@@ -15,8 +15,13 @@
     "traffic/errors",
     "traffic/socket",
     "traffic/lingering",
-    "traffic/pace",
-    "traffic/body",
+    "traffic/body_deadline",
+    "traffic/connection_timer",
+    "traffic/memory_budget",
+    "traffic/request_body/reader",
+    "traffic/request_body",
+    "traffic/attempt_body",
+    "traffic/response_body",
     "upstream/connect",
     "upstream/errors",
     "upstream/headers",
