--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -347,7 +347,7 @@
     }
 
     /// A request made no sense and has been answered so.
-    pub fn turned_away(&self, request: &str, status: StatusCode, why: &str) {
+    pub fn record_rejection(&self, request: &str, status: StatusCode, why: &str) {
         self.metrics.bad();
         self.state.borrow_mut().requests.turned_away(request, status, why);
     }
--- a/agent/src/process.rs
+++ b/agent/src/process.rs
@@ -163,16 +163,16 @@
         server.hand_over(answer_by);
     } else {
         server.drain(answer_by);
-        sleep(server::ACCEPT_ON).await;
+        sleep(server::ACCEPT_AFTER_SIGTERM).await;
         server.close();
     }
     // Long bodies and answers that are on their way are not cut, unless they never end.
-    let given_up = told + server::ACCEPT_ON + longest + BODIES_MOST;
+    let given_up = told + server::ACCEPT_AFTER_SIGTERM + longest + BODIES_MOST;
     if !handed_on {
         // It takes what still lies in the queue, as soon as there are places.
         let _ = timeout_at(given_up, accepting).await;
     }
-    while server.open() && Instant::now() < given_up {
+    while server.has_open_connections() && Instant::now() < given_up {
         sleep(FLUSH).await;
     }
     sleep(FLUSH).await;
