--- a/agent/src/traffic/response_body.rs
+++ b/agent/src/traffic/response_body.rs
@@ -87,7 +87,9 @@
         }
         match end {
             End::Served => (stream.return_connection)(),
-            _ => stream.on_abort.into_iter().for_each(|on_abort| on_abort()),
+            End::Refused | End::Failed | End::Gone => {
+                stream.on_abort.into_iter().for_each(|on_abort| on_abort());
+            }
         }
     }
 }
