--- a/agent/src/downstream/body_reader.rs
+++ b/agent/src/downstream/body_reader.rs
@@ -61,7 +61,7 @@
         if hint.lower() > MAX_REQUEST_BODY_BYTES {
             return Err(BodyError::TooLong.into());
         }
-        let mut first = Bytes::new();
+        let mut beginning = Bytes::new();
         let mut memory_wait = Duration::ZERO;
         if hint.lower() <= MAX_BUFFERED_BODY_BYTES as u64 {
             let bytes = hint.exact().map_or(MAX_BUFFERED_BODY_BYTES, |length| length as usize);
@@ -72,15 +72,15 @@
                     let content = Content::Kept { bytes, _hold: memory.reservation };
                     return Ok(ReceivedBody { content, memory_wait });
                 }
-                BufferedBody::Beginning(bytes) => first = bytes,
+                BufferedBody::Beginning(bytes) => beginning = bytes,
             }
         }
         let wait = self.wait.saturating_sub(memory_wait);
         let memory = self.wait_for_memory(self.budget.reserve_streamed_request(), wait).await?;
         memory_wait += memory.waited;
         let stream = RequestBodyStream::new(LongBody {
-            first,
-            rest: body,
+            beginning,
+            remainder: body,
             deadline: self.deadline,
             expects_continue: self.expects_continue,
             reservation: memory.reservation,
--- a/agent/src/traffic/attempt_body.rs
+++ b/agent/src/traffic/attempt_body.rs
@@ -20,7 +20,7 @@
 /// One attempt's way through a long body.
 pub struct StreamedBody {
     stream: Rc<RequestBodyStream>,
-    first_is_sent: bool,
+    beginning_is_sent: bool,
     /// Called when the last byte is on its way.
     on_end: Option<Box<dyn FnOnce()>>,
 }
@@ -34,7 +34,7 @@
 impl AttemptBody {
     /// A further attempt with this body.
     pub fn streamed(stream: &Rc<RequestBodyStream>) -> Self {
-        AttemptBody::Streamed(StreamedBody { stream: stream.clone(), first_is_sent: false, on_end: None })
+        AttemptBody::Streamed(StreamedBody { stream: stream.clone(), beginning_is_sent: false, on_end: None })
     }
 
     /// Calls `on_end` when the last byte of a body without a known length is on its way.
@@ -59,10 +59,10 @@
             }
             AttemptBody::Streamed(streamed) => streamed,
         };
-        if !std::mem::replace(&mut streamed.first_is_sent, true) {
-            let first = streamed.stream.first();
-            if !first.is_empty() {
-                return Poll::Ready(Some(Ok(Frame::data(first))));
+        if !std::mem::replace(&mut streamed.beginning_is_sent, true) {
+            let beginning = streamed.stream.beginning();
+            if !beginning.is_empty() {
+                return Poll::Ready(Some(Ok(Frame::data(beginning))));
             }
         }
         let chunk = streamed.stream.poll_chunk(cx);
--- a/agent/src/traffic/request_body.rs
+++ b/agent/src/traffic/request_body.rs
@@ -41,9 +41,9 @@
 /// A body that has turned out to be long.
 pub struct LongBody {
     /// What came while it might still have been a short one.
-    pub first: Bytes,
+    pub beginning: Bytes,
     /// The rest.
-    pub rest: Incoming,
+    pub remainder: Incoming,
     /// When the rest has to come.
     pub deadline: BodyDeadline,
     /// Whether the client waits for `100 Continue` before it sends anything.
@@ -69,9 +69,9 @@
 impl RequestBodyStream {
     /// A stream of which nothing has been taken yet.
     pub fn new(body: LongBody) -> Rc<Self> {
-        let LongBody { first, rest, deadline, expects_continue, reservation, received_since } = body;
-        let length = rest.size_hint().exact().map(|rest| first.len() as u64 + rest);
-        let mut reader = BodyReader::new(first, rest, deadline, received_since);
+        let LongBody { beginning, remainder, deadline, expects_continue, reservation, received_since } = body;
+        let length = remainder.size_hint().exact().map(|bytes| beginning.len() as u64 + bytes);
+        let mut reader = BodyReader::new(beginning, remainder, deadline, received_since);
         if expects_continue {
             reader.expect_no_early_bytes();
         }
@@ -97,8 +97,8 @@
     }
 
     /// What came while it might still have been a short one; it is buffered for each attempt.
-    pub fn first(&self) -> Bytes {
-        self.reader.borrow().first()
+    pub fn beginning(&self) -> Bytes {
+        self.reader.borrow().beginning()
     }
 
     /// Waits for its last byte; when that has come.
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Polls for the chunk after [`RequestBodyStream::first`] and those that have been taken.
+    /// Polls for the chunk after [`RequestBodyStream::beginning`] and those that have been taken.
     pub fn poll_chunk(&self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         match *self.state.borrow() {
             BodyState::Receiving => {}
--- a/agent/src/traffic/request_body/reader.rs
+++ b/agent/src/traffic/request_body/reader.rs
@@ -40,7 +40,7 @@
 
 /// Reads the body chunk by chunk.
 pub struct BodyReader {
-    first: Bytes,
+    beginning: Bytes,
     body: Incoming,
     deadline: BodyDeadline,
     bytes_read: u64,
@@ -57,11 +57,11 @@
 }
 
 impl BodyReader {
-    /// Reads `body`, of which `first` has been read already.
-    pub fn new(first: Bytes, body: Incoming, deadline: BodyDeadline, received_since: Instant) -> Self {
+    /// Reads `body`, of which `beginning` has been read already.
+    pub fn new(beginning: Bytes, body: Incoming, deadline: BodyDeadline, received_since: Instant) -> Self {
         BodyReader {
-            bytes_read: first.len() as u64,
-            first,
+            bytes_read: beginning.len() as u64,
+            beginning,
             body,
             received_since,
             first_polled_at: None,
@@ -80,8 +80,8 @@
     }
 
     /// What had been read before.
-    pub fn first(&self) -> Bytes {
-        self.first.clone()
+    pub fn beginning(&self) -> Bytes {
+        self.beginning.clone()
     }
 
     /// Whether any byte has been read.
