--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -12,10 +12,13 @@
 use crate::config::Config;
 use crate::log::{Log, Tried};
 use crate::metrics::{Attempts, Counts, Metrics};
-use crate::traffic::body::{Budget, Step};
-use crate::traffic::pace::turns;
-use crate::upstream::client::{Ended, Progress, Upstream};
-use crate::upstream::discovery::{Discovery, Listener, News, STEP};
+use crate::traffic::connection_timer::yield_turns;
+use crate::traffic::memory_budget::MemoryBudget;
+use crate::traffic::request_body::BodyEvent;
+use crate::upstream::attempt::AttemptProgress;
+use crate::upstream::client::UpstreamClient;
+use crate::upstream::discovery::{DiscoveryClient, DiscoveryEvent, Listener, MAX_ENTRIES_PER_STEP};
+use crate::upstream::exchange::ExchangeResult;
 use balancer::{
     Action, AttemptNo, Balancer, EndpointCounts, EndpointUpdate, Event, Idempotency, Outcome, RequestId,
     ServerId, ServerView, SettingsError, Snapshot, Span, Status, Time, ZoneId,
@@ -44,7 +47,7 @@
     queue: Queue,
     requests: Requests,
     servers: Servers,
-    discovery: Discovery,
+    discovery: DiscoveryClient,
 }
 
 /// Drives the balancer.
@@ -60,8 +63,8 @@
     pub accepts: Cell<bool>,
     metrics: Rc<Metrics>,
     /// What may be held of bodies.
-    pub budget: Rc<Budget>,
-    upstream: Rc<Upstream>,
+    pub budget: Rc<MemoryBudget>,
+    upstream: Rc<UpstreamClient>,
     state: RefCell<State>,
     wake: Notify,
 }
@@ -73,9 +76,9 @@
         let wall_clock = Rc::new(WallClock::new(clock));
         let effects = config.settings.classes.iter().map(|c| c.idempotency).collect();
         let metrics = Metrics::new(config.names.classes.len());
-        let budget = Rc::new(Budget::of(config.memory_mb, config.shared));
+        let budget = Rc::new(MemoryBudget::for_process(config.memory_mb, config.shared));
         let connect_timeout = Duration::from_micros(config.names.connect_timeout.0);
-        let upstream = Rc::new(Upstream::new(
+        let upstream = Rc::new(UpstreamClient::new(
             connections,
             metrics.clone(),
             budget.clone(),
@@ -91,7 +94,7 @@
             queue: Queue::new(balancer, clock),
             requests: Requests::new(Log::new(clock.origin)),
             servers: Servers::new(config.servers_most, wall_clock.clone()),
-            discovery: Discovery::new(config.discovery, connect_timeout, config.servers_most),
+            discovery: DiscoveryClient::new(config.discovery, connect_timeout, config.servers_most),
         };
         let driver = Rc::new(Driver {
             clock,
@@ -107,7 +110,7 @@
         });
         {
             let mut state = driver.state.borrow_mut();
-            let describe = |server, host: &_| driver.upstream.describe(server, host);
+            let describe = |server, host: &_| driver.upstream.update_endpoint(server, host);
             let list = state.servers.begin(config.known, &driver.names, describe);
             state.queue.push(Event::Endpoints(EndpointUpdate::Saved(list)));
             for action in actions {
@@ -294,7 +297,7 @@
                 None => self.metrics.take(arrival.class.0),
                 Some(intake) => {
                     let driver = self.clone();
-                    intake.tells(move |step| driver.uploads(id, step));
+                    intake.set_listener(move |step| driver.uploads(id, step));
                     self.metrics.upload(arrival.class.0)
                 }
             };
@@ -311,15 +314,15 @@
     }
 
     /// A long body has taken a step.
-    fn uploads(self: &Rc<Self>, id: RequestId, step: Step) {
+    fn uploads(self: &Rc<Self>, id: RequestId, step: BodyEvent) {
         {
             let mut state = self.state.borrow_mut();
             let Some(open) = state.requests.open.get_mut(&id) else { return };
             let event = match step {
-                Step::Spent => Event::BodyConsumed { request: id },
-                Step::Whole => {
+                BodyEvent::Consumed => Event::BodyConsumed { request: id },
+                BodyEvent::Complete => {
                     open.taken.whole();
-                    let whole_at = open.parts.intake().and_then(|intake| intake.whole_at());
+                    let whole_at = open.parts.intake().and_then(|intake| intake.completed_at());
                     let spent = whole_at.map_or(Duration::ZERO, |whole| whole.elapsed());
                     let time_left = Span(open.parts.wait().saturating_sub(spent).as_micros() as u64);
                     Event::BodyComplete { request: id, time_left }
@@ -344,46 +347,46 @@
     }
 
     /// A request made no sense and has been answered so.
-    pub fn turned_away(&self, request: &str, status: StatusCode, why: &str) {
+    pub fn record_rejection(&self, request: &str, status: StatusCode, why: &str) {
         self.metrics.bad();
         self.state.borrow_mut().requests.turned_away(request, status, why);
     }
 
     /// What discovery says; whether there is more to be done about it than fits beside requests.
-    fn hear(self: &Rc<Self>, news: News) -> bool {
+    fn hear(self: &Rc<Self>, news: DiscoveryEvent) -> bool {
         self.wall_clock.check();
         let (update, more) = {
             let mut state = self.state.borrow_mut();
-            let describe = |server, host: &_| self.upstream.describe(server, host);
+            let describe = |server, host: &_| self.upstream.update_endpoint(server, host);
             match news {
-                News::Called => {
+                DiscoveryEvent::CallStarted => {
                     state.servers.called();
                     return false;
                 }
-                News::Entries(entries) => {
+                DiscoveryEvent::Entries(entries) => {
                     let lines = state.servers.take(entries, &self.names, describe);
                     if lines.is_empty() {
                         return false;
                     }
                     (EndpointUpdate::Partial(lines), false)
                 }
-                News::Whole(_) | News::GoOn => {
-                    if let News::Whole(envelope) = news {
+                DiscoveryEvent::Complete(_) | DiscoveryEvent::Continue => {
+                    if let DiscoveryEvent::Complete(envelope) = news {
                         state.servers.ends(envelope);
                     }
-                    match state.servers.step(STEP, &self.names, describe) {
+                    match state.servers.step(MAX_ENTRIES_PER_STEP, &self.names, describe) {
                         (lines, true) => (EndpointUpdate::Changes(lines), false),
                         (lines, false) => (EndpointUpdate::Partial(lines), true),
                     }
                 }
-                News::Failed => (EndpointUpdate::Failed, false),
-                News::Senseless => (EndpointUpdate::Unusable, false),
+                DiscoveryEvent::Failed => (EndpointUpdate::Failed, false),
+                DiscoveryEvent::Unusable => (EndpointUpdate::Unusable, false),
             }
         };
         self.tell([Event::Endpoints(update)]);
         let mut state = self.state.borrow_mut();
         while let Some((server, zone)) = state.servers.forget() {
-            self.upstream.forget(server);
+            self.upstream.remove_endpoint(server);
             if let Some(attempts) = self.metrics.forget(server) {
                 state.servers.left(&zone, &attempts);
             }
@@ -401,7 +404,7 @@
         let mut state = self.state.borrow_mut();
         // Nobody says that both count versions alike.
         state.servers.seq = None;
-        state.discovery.moved(&self.listener(), address);
+        state.discovery.change_address(&self.listener(), address);
     }
 
     /// Wakes the balancer when a timer is due, and looks after idle connections; never ends.
@@ -417,7 +420,7 @@
             self.state.borrow_mut().queue.go_off();
             self.pump();
             if Instant::now() >= sweep {
-                self.upstream.sweep();
+                self.upstream.evict_idle();
                 self.wall_clock.check();
                 self.write_counts();
                 sweep = Instant::now() + SWEEP;
@@ -429,7 +432,7 @@
     fn write_counts(&self) {
         let mut state = self.state.borrow_mut();
         if let Some(counts) = state.requests.log.counts(Instant::now(), &self.metrics) {
-            counts.write(self.upstream.held(), &state.queue.balancer.summary());
+            counts.write(self.upstream.open_connections(), &state.queue.balancer.summary());
         }
     }
 
@@ -449,7 +452,7 @@
             Action::Send { request, server, timeout_at } => self.send(state, request, server, timeout_at),
             Action::Cancel { request, attempt } => {
                 if let Some(progress) = state.requests.attempts.get(&(request, attempt.0)) {
-                    progress.call_off();
+                    progress.cancel();
                 }
             }
             Action::Reject { request, retry_after } => {
@@ -469,7 +472,7 @@
             Action::CloseIdleConnections { server } => self.upstream.close_idle(server),
             Action::Watch { active } => {
                 let seq = state.servers.seq;
-                state.discovery.follow(&self.listener(), active, seq);
+                state.discovery.set_watch(&self.listener(), active, seq);
             }
             Action::FetchEndpoints => state.discovery.fetch(&self.listener()),
             // Agents of this deployment have no way to talk to each other, and the settings say so.
@@ -494,16 +497,16 @@
         let parts = open.parts.clone();
         // A long body is timed from its last byte, by what its client said.
         let (upload, wait) = (parts.intake().cloned(), parts.wait());
-        let progress = Rc::new(Progress::default());
+        let progress = Rc::new(AttemptProgress::default());
         state.requests.attempts.insert((request, attempt), progress.clone());
         let driver = self.clone();
         tokio::task::spawn_local(async move {
             let over = async {
                 match &upload {
                     None => sleep_until(until).await,
-                    Some(upload) => upload.over(wait).await,
+                    Some(upload) => upload.wait_for_attempt_timeout(wait).await,
                 }
-                turns(ANSWER_TURNS).await;
+                yield_turns(ANSWER_TURNS).await;
             };
             // Its connection may have taken a good part of the wait to come up: what is told is what is left by then.
             let begin = || {
@@ -514,20 +517,20 @@
                 };
                 let left = match &upload {
                     None => until.saturating_duration_since(now),
-                    Some(upload) => wait.saturating_sub(upload.unread()),
+                    Some(upload) => wait.saturating_sub(upload.unread_time()),
                 };
                 may_begin.then(|| outgoing(&parts, left))
             };
-            let ended = driver.upstream.attempt(server, begin, parts.intake(), over, &progress).await;
-            let since = upload.and_then(|upload| upload.whole_at()).map_or(sent, |whole| whole.max(sent));
+            let ended = driver.upstream.send_attempt(server, begin, parts.intake(), over, &progress).await;
+            let since = upload.and_then(|upload| upload.completed_at()).map_or(sent, |whole| whole.max(sent));
             driver.ended((request, attempt), server, ended, since);
         });
     }
 
     /// An attempt is over: the first that is served answers its request.
-    fn ended(self: &Rc<Self>, key: (RequestId, u32), server: ServerId, ended: Ended, sent: Instant) {
+    fn ended(self: &Rc<Self>, key: (RequestId, u32), server: ServerId, ended: ExchangeResult, sent: Instant) {
         let elapsed = Span(sent.elapsed().as_micros() as u64);
-        let broken = |open: &Open| open.parts.intake().is_some_and(|intake| intake.is_broken());
+        let broken = |open: &Open| open.parts.intake().is_some_and(|intake| intake.has_failed());
         if self.state.borrow().requests.open.get(&key.0).is_some_and(broken) {
             // What its client has not sent whole is no request, and there is nothing to decide any more.
             self.gone(key.0);
@@ -536,7 +539,7 @@
             let mut state = self.state.borrow_mut();
             state.requests.attempts.remove(&key);
             self.metrics.attempt(server, ended.outcome);
-            if let Some(served) = ended.answer {
+            if let Some(served) = ended.response {
                 let driver = self.clone();
                 let broke = move || driver.broke(server);
                 let state = &mut *state;
@@ -552,8 +555,8 @@
                     zone,
                     outcome: ended.outcome,
                     status: ended.status,
-                    idled: ended.idled,
-                    why: ended.why,
+                    idled: ended.connection_idle,
+                    why: ended.error.map(|error| error.to_string()),
                     took: elapsed,
                 });
                 open.timed_out = ended.outcome == Outcome::TimedOut;
@@ -564,7 +567,7 @@
                 attempt: AttemptNo(key.1),
                 outcome: ended.outcome,
                 elapsed,
-                report: ended.report,
+                report: ended.load_report,
                 closed,
             });
         }
@@ -589,7 +592,8 @@
         let driver = self.clone();
         tokio::task::spawn_local(async move {
             let sent = Instant::now();
-            let Ended { outcome, report, .. } = driver.upstream.probe(server).await;
+            let ExchangeResult { outcome, load_report: report, .. } =
+                driver.upstream.check_health(server).await;
             let elapsed = Span(sent.elapsed().as_micros() as u64);
             driver.tell([Event::HealthChecked { server, outcome, elapsed, report }]);
         });
--- a/agent/src/driver/requests.rs
+++ b/agent/src/driver/requests.rs
@@ -2,8 +2,11 @@
 
 use crate::log::{self, Log, Tried};
 use crate::metrics::{End, Taken};
-use crate::traffic::body::{Hold, Intake, Outgoing};
-use crate::upstream::client::{Progress, Served};
+use crate::traffic::attempt_body::AttemptBody;
+use crate::traffic::memory_budget::MemoryReservation;
+use crate::traffic::request_body::RequestBodyStream;
+use crate::upstream::attempt::AttemptProgress;
+use crate::upstream::exchange::ServedResponse;
 use balancer::{ClassId, KeyId, RequestId, Span, TenantId};
 use balancer_settings::Names;
 use bytes::Bytes;
@@ -48,14 +51,14 @@
 /// The body of a request.
 pub enum Content {
     /// There whole, for as long as the request is.
-    Kept { bytes: Bytes, _hold: Hold },
+    Kept { bytes: Bytes, _hold: MemoryReservation },
     /// Passed on as it comes.
-    Passed(Rc<Intake>),
+    Passed(Rc<RequestBodyStream>),
 }
 
 impl Arrival {
     /// Its body, if that is passed on as it comes.
-    pub fn intake(&self) -> Option<&Rc<Intake>> {
+    pub fn intake(&self) -> Option<&Rc<RequestBodyStream>> {
         match &self.body {
             Content::Kept { .. } => None,
             Content::Passed(intake) => Some(intake),
@@ -71,7 +74,7 @@
 /// The one final answer to a request.
 pub enum Answer {
     /// A backend's answer, whole or begun.
-    Served(Box<Served>),
+    Served(Box<ServedResponse>),
     /// Refused by the balancer; trying again is harmless, and makes sense after this long.
     Refused(Option<Span>),
     /// Failed, with no promise.
@@ -98,7 +101,7 @@
     /// Those that are owed an answer.
     pub open: HashMap<RequestId, Open>,
     /// Attempts that are out; one may outlive its request.
-    pub attempts: HashMap<(RequestId, u32), Rc<Progress>>,
+    pub attempts: HashMap<(RequestId, u32), Rc<AttemptProgress>>,
     /// Room in the log.
     pub log: Log,
 }
@@ -139,7 +142,7 @@
     pub fn serve(
         &mut self,
         id: RequestId,
-        mut served: Served,
+        mut served: ServedResponse,
         broke: impl FnOnce() + 'static,
         names: &Names,
         by: (&str, &str),
@@ -147,7 +150,7 @@
         let Some(open) = self.open.remove(&id) else { return };
         self.stop_unwritten(id, open.taken.sends);
         self.note(&open, End::Served, names, Some(by));
-        served.body.ends(open.taken, broke);
+        served.body.end_request_with(open.taken, broke);
         let _ = open.answer.send(Answer::Served(Box::new(served)));
     }
 
@@ -200,18 +203,18 @@
 
     fn stop_unwritten(&self, id: RequestId, sends: u32) {
         for attempt in 0..sends {
-            if let Some(progress) = self.attempts.get(&(id, attempt)).filter(|p| !p.may_have_run()) {
-                progress.call_off();
+            if let Some(progress) = self.attempts.get(&(id, attempt)).filter(|p| !p.may_have_executed()) {
+                progress.cancel();
             }
         }
     }
 }
 
 /// What goes to a backend: the request unchanged, and how long the agent will wait.
-pub fn outgoing(parts: &Arrival, wait: Duration) -> Request<Outgoing> {
+pub fn outgoing(parts: &Arrival, wait: Duration) -> Request<AttemptBody> {
     let body = match &parts.body {
-        Content::Kept { bytes, .. } => Outgoing::Kept(Full::new(bytes.clone())),
-        Content::Passed(intake) => Outgoing::of(intake),
+        Content::Kept { bytes, .. } => AttemptBody::Buffered(Full::new(bytes.clone())),
+        Content::Passed(intake) => AttemptBody::streamed(intake),
     };
     let length = body.size_hint().exact();
     let mut request = Request::new(body);
