--- a/agent/tests/durability.rs
+++ b/agent/tests/durability.rs
@@ -130,9 +130,7 @@
     assert!(made.success());
     let answer = {
         let mut cordon = std::pin::pin!(agent.call("cordon other"));
-        let other_callers = async {
-            while agent.figures("renderers").await["unsaved"] != 1 {}
-        };
+        let other_callers = async { while agent.figures("renderers").await["unsaved"] != 1 {} };
         // The one that waits for the disk holds up no other one.
         tokio::select! {
             biased;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -28,8 +28,11 @@
 const NEAR: f64 = 0.2;
 /// A blind balancer sends a cold server this part of the overload that would push it over.
 const COLD_TRUST: f64 = 0.5;
-/// A blind balancer's own count at a cold server weighs the inverse of its capacity, of this at least.
+/// A blind balancer's own count at a cold server, past the first, weighs the inverse of its capacity, of this at least.
 const LEAST_WARMTH: f64 = 0.01;
+/// A blind balancer may go over what the settings allow a cold server by a request of mean work for so many balancers, and
+/// by one at least: the more there are, the more evenly chance spreads what all of them send.
+const BALANCERS_PER_SPARE: f64 = 10.0;
 /// A server that the operators bring back is tried within this, at a time of each balancer's own: the tries
 /// of all must not meet on a cold server. Of more balancers than this, about as many see to it, by chance.
 const TRY_WITHIN: Span = Span(4_000_000);
@@ -500,7 +503,8 @@
         let allowed =
             self.settings.overload_factor.max(1.0) * warmth * self.warm_window.at_least(now, window);
         if self.blind {
-            return sent > allowed + ask.mean_work;
+            let spare = (f64::from(self.settings.balancers) / BALANCERS_PER_SPARE).max(1.0) * ask.mean_work;
+            return sent > allowed + spare;
         }
         sent + ask.work > allowed || s.cold_sent.now(now) + ask.work > warmth * self.warm_sent.now(now)
     }
@@ -588,7 +592,9 @@
             let report = s.reported + f64::from(s.sent_since);
             let key = if blind {
                 let told = if asks { report.round() as i64 } else { 0 };
-                let full = f64::from(s.in_flight) / self.warmth(s, now).max(LEAST_WARMTH);
+                let beyond_first = (f64::from(s.in_flight) - 1.0).max(0.0);
+                let full = f64::from(s.in_flight) - beyond_first
+                    + beyond_first / self.warmth(s, now).max(LEAST_WARMTH);
                 (full.round() as i64, told, (-(1.0 - coin).ln() / self.bears(s, now)).to_bits())
             } else {
                 let far = match s.listed.zone {
