--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -8,7 +8,7 @@
 use std::cmp::Reverse;
 
 /// The most servers in a snapshot. Stored, a server takes some 180 bytes, and the file that a snapshot is stored in is
-/// limited to 256 KiB (`agent/src/peers/handover.rs`).
+/// limited to 256 KiB (`agent/src/peers/file.rs`).
 const MAX_SNAPSHOT_SERVERS: usize = 1024;
 
 /// What a balancer has learned, for the process that takes over from it.
