--- a/agent/src/admin/commands.rs
+++ b/agent/src/admin/commands.rs
@@ -66,12 +66,12 @@
 
     /// Whether this process takes clients.
     pub fn serves(&self) -> bool {
-        self.driver.serves()
+        self.driver.is_serving()
     }
 
     /// The figures as the operators read them.
     pub fn counters(&self) -> Counters {
-        let fleet = self.driver.fleet();
+        let fleet = self.driver.view().endpoint_counts();
         metrics::report(&self.driver.counts(), &self.driver.names.classes, fleet.listed, fleet.avoided)
     }
 
@@ -82,7 +82,7 @@
 
     /// Each renderer on the list.
     pub fn renderers(&self) -> Renderers {
-        let mut renderers = self.driver.renderers();
+        let mut renderers = self.driver.view().renderers();
         let left_out = renderers.len().saturating_sub(RENDERERS_MOST) as u64;
         renderers.truncate(RENDERERS_MOST);
         Renderers { renderers, left_out, unsaved: self.unsaved() }
@@ -91,11 +91,11 @@
     /// The same summed by zone, with what was counted of renderers that have left the list.
     pub fn zones(&self) -> Zones {
         let mut zones: BTreeMap<String, Zone> = BTreeMap::new();
-        for (zone, attempts) in self.driver.left() {
+        for (zone, attempts) in self.driver.view().removed_attempts_by_zone() {
             let Attempts { sends, answered, failed, rejected } = attempts;
             zones.insert(zone, Zone { sends, answered, failed, rejected, ..Zone::default() });
         }
-        for renderer in self.driver.renderers() {
+        for renderer in self.driver.view().renderers() {
             let zone = zones.entry(renderer.zone).or_default();
             zone.listed += 1;
             zone.serving += u64::from(renderer.serving);
@@ -109,7 +109,7 @@
             zone.failed += renderer.failed;
             zone.rejected += renderer.rejected;
         }
-        let mut phases = self.driver.zone_phases();
+        let mut phases = self.driver.view().zone_phases();
         let left_out = zones.len().saturating_sub(ZONES_MOST) as u64;
         let cordons = self.cordons.borrow();
         let left = |name: &str| cordons.out(&format!("{ZONE}{name}"));
@@ -126,7 +126,7 @@
     /// means that this process does so, and that one that takes over will not know yet.
     pub async fn cordon(&self, name: &str, out: bool) -> Result<bool, Unsaved> {
         self.look();
-        if !self.cordons.borrow().knows(name) && self.driver.server(name).is_none() {
+        if !self.cordons.borrow().knows(name) && self.driver.view().server_id(name).is_none() {
             return Ok(false);
         }
         self.hold(name, out).await?;
@@ -137,7 +137,7 @@
     pub async fn zone(&self, name: &str, out: bool) -> Result<bool, Unsaved> {
         self.look();
         let key = format!("{ZONE}{name}");
-        if !self.cordons.borrow().knows(&key) && !self.driver.knows_zone(name) {
+        if !self.cordons.borrow().knows(&key) && !self.driver.view().has_zone(name) {
             return Ok(false);
         }
         self.hold(&key, out).await?;
@@ -173,22 +173,22 @@
     fn pass_on(&self, name: &str, out: bool, at: Time) {
         if let Some(zone) = name.strip_prefix(ZONE) {
             tracing::info!(target: "admin", zone, "the zone is {}", if out { "left" } else { "returned to" });
-            return self.driver.zone(zone, out, at);
+            return self.driver.set_zone_evacuated(zone, out, at);
         }
         tracing::info!(target: "admin", "{name:.80} is {}", if out { "cordoned" } else { "back" });
-        self.driver.cordon(name, out, at);
+        self.driver.set_cordoned(name, out, at);
     }
 
     /// Begins with what the process beside this one has learned, once that is known to be fresh. To be called until the
     /// process has something of its own to leave.
     pub fn learn(&self) {
-        let server = |name: &str| self.driver.server(name);
+        let server = |name: &str| self.driver.view().server_id(name);
         let mut inheritance = self.inheritance.borrow_mut();
         let Some(lessons) = inheritance.as_mut().and_then(|from| from.look(Now::read(), server)) else {
             return;
         };
         tracing::info!(target: "handover", "begins with what was learned of {} servers", lessons.servers.len());
-        self.driver.learn(lessons);
+        self.driver.restore(lessons);
     }
 
     /// Leaves what has been learned there, once there is something.
@@ -202,11 +202,11 @@
             Keeping::UnderWay { .. } => return,
             keeping => keeping == Keeping::Failing,
         };
-        let lessons = self.driver.lessons();
+        let lessons = self.driver.view().snapshot();
         if lessons.servers.iter().all(|lesson| lesson.samples == 0) {
             return;
         }
-        let name = |server| Some(self.driver.name(server)).filter(|name| !name.is_empty());
+        let name = |server| Some(self.driver.view().server_name(server)).filter(|name| !name.is_empty());
         let (file, text) = learned::draft(folder, &self.owner, lessons, Now::read(), name);
         self.keeping.set(Keeping::UnderWay { failing });
         let (admin, writer) = (self.clone(), writer.clone());
--- a/agent/src/downstream/server.rs
+++ b/agent/src/downstream/server.rs
@@ -1,6 +1,7 @@
 //! The application's side: takes requests in, checks them, and writes the one answer of each.
 
-use crate::driver::requests::{Answer, Arrival, Content};
+use crate::driver::arrival::{Arrival, Content};
+use crate::driver::requests::Answer;
 use crate::driver::{Driver, ANSWER_TURNS};
 use crate::traffic::body::{Hold, Intake, Reply, Unread, BUFFER, KEPT_MOST, REQUEST_MOST};
 use crate::traffic::errors::{concerns_one_connection, is_shortage};
@@ -248,7 +249,7 @@
         let class = text(request.headers(), "x-priority-class") == Some("ready")
             && self.driver.names.classes.iter().any(|name| name == "ready");
         if request.uri().path() == "/ready" && !class {
-            let ready = self.driver.ready() && *self.stay.borrow() == Stay::On;
+            let ready = self.driver.is_ready() && *self.stay.borrow() == Stay::On;
             return Ok(if ready {
                 plain(StatusCode::OK, "ready")
             } else {
@@ -262,7 +263,7 @@
                 let why =
                     bad.body().as_whole().and_then(|why| std::str::from_utf8(why).ok()).unwrap_or_default();
                 let name = name.as_ref().and_then(|name| name.to_str().ok()).unwrap_or_default();
-                self.driver.turned_away(name, bad.status(), why.trim_end());
+                self.driver.record_invalid_request(name, bad.status(), why.trim_end());
                 return Err(bad);
             }
         };
@@ -333,7 +334,7 @@
                 let frame =
                     timeout_at(patience.due(), body.frame()).await.map_err(|_| unread(Unread::Late))?;
                 let Some(frame) = frame else {
-                    let content = Content::Kept { bytes: kept.freeze(), _hold: room.hold };
+                    let content = Content::Buffered { bytes: kept.freeze(), _reservation: room.hold };
                     return Ok(Collected { content, waited });
                 };
                 let Ok(bytes) = frame.map_err(|_| unread(Unread::Broken))?.into_data() else { continue };
@@ -344,7 +345,7 @@
         let room = self.room(self.driver.budget.uploading(), &patience, wait.saturating_sub(waited)).await?;
         waited += room.waited;
         let came = Instant::now() - waited;
-        let content = Content::Passed(Intake::new(kept.freeze(), body, patience, expects, room.hold, came));
+        let content = Content::Streamed(Intake::new(kept.freeze(), body, patience, expects, room.hold, came));
         Ok(Collected { content, waited })
     }
 
@@ -391,7 +392,7 @@
         }
         let wait = text(&head.headers, "x-timeout").and_then(wait_of);
         let wait = wait.ok_or_else(|| bad("X-Timeout must be a time such as 480m or 900u"))?;
-        let effect = self.driver.effects[class];
+        let effect = self.driver.idempotency[class];
         let safe = effect == Idempotency::Idempotent;
         let methods: &[Method] = if safe { &[Method::GET, Method::HEAD] } else { &[Method::POST] };
         if !methods.contains(&head.method) {
@@ -423,7 +424,7 @@
             cost_hint: cost.filter(|us| *us > 0.0 && us.is_finite()).map(|us| Span::from_ms(us / 1e3)),
             repeat: text(&head.headers, "x-retried") == Some("1"),
             name,
-            came,
+            arrived_at: came,
             deadline: came + (wait - room),
             headers: forwarded(&head.headers),
             method: head.method,
@@ -468,7 +469,7 @@
 
 impl Drop for Owed<'_> {
     fn drop(&mut self) {
-        self.0.gone(self.1);
+        self.0.abandon(self.1);
     }
 }
 
@@ -500,7 +501,7 @@
             response.headers_mut().extend(length.map(|length| (CONTENT_LENGTH, length)));
             response
         }
-        Answer::Refused(after) => {
+        Answer::Rejected(after) => {
             let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused; trying again is harmless");
             let after =
                 after.and_then(|after| HeaderValue::from_str(&format!("{:.3}", after.as_ms() / 1e3)).ok());
--- /dev/null
+++ b/agent/src/driver/arrival.rs
@@ -0,0 +1,93 @@
+//! A request as the application sent it, and what of it is sent to a server.
+
+use crate::traffic::body::{Hold, Intake, Outgoing};
+use balancer::{ClassId, KeyId, Span, TenantId};
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::Body;
+use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH};
+use hyper::{Method, Request, Uri};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Tells a server how long the agent waits for its answer.
+const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("x-timeout");
+
+/// A request as the application sent it.
+pub struct Arrival {
+    /// Its method.
+    pub method: Method,
+    /// Its path and query.
+    pub uri: Uri,
+    /// The application's name for it.
+    pub name: String,
+    /// When it was complete; when its head was, if its body is streamed.
+    pub arrived_at: Instant,
+    /// The headers that are forwarded.
+    pub headers: HeaderMap,
+    /// Its body.
+    pub body: Content,
+    /// Its class.
+    pub class: ClassId,
+    /// Its tenant.
+    pub tenant: Option<TenantId>,
+    /// Its affinity key.
+    pub key: Option<KeyId>,
+    /// The client's estimate of its work.
+    pub cost_hint: Option<Span>,
+    /// The client says that it is a retry.
+    pub repeat: bool,
+    /// When its answer must have begun. For a streamed body, the time from `arrived_at` to this counts anew from its
+    /// last byte.
+    pub deadline: Instant,
+}
+
+/// The body of a request.
+pub enum Content {
+    /// Complete, in memory reserved for as long as the request lives.
+    Buffered {
+        /// All of it.
+        bytes: Bytes,
+        /// Releases the memory when it is dropped.
+        _reservation: Hold,
+    },
+    /// Forwarded while it arrives.
+    Streamed(Rc<Intake>),
+}
+
+impl Arrival {
+    /// Its body, if that is forwarded while it arrives.
+    pub fn intake(&self) -> Option<&Rc<Intake>> {
+        match &self.body {
+            Content::Buffered { .. } => None,
+            Content::Streamed(intake) => Some(intake),
+        }
+    }
+
+    /// How long its client waits.
+    pub fn wait(&self) -> Duration {
+        self.deadline.saturating_duration_since(self.arrived_at)
+    }
+
+    /// The request for a server: unchanged, with the time that the agent will wait.
+    pub fn outgoing(&self, wait: Duration) -> Request<Outgoing> {
+        let body = match &self.body {
+            Content::Buffered { bytes, .. } => Outgoing::Kept(Full::new(bytes.clone())),
+            Content::Streamed(intake) => Outgoing::of(intake),
+        };
+        let length = body.size_hint().exact();
+        let mut request = Request::new(body);
+        *request.method_mut() = self.method.clone();
+        *request.uri_mut() = self.uri.clone();
+        *request.headers_mut() = self.headers.clone();
+        let headers = request.headers_mut();
+        let wait = HeaderValue::from_str(&format!("{}u", wait.as_micros().max(1)));
+        headers.extend(wait.ok().map(|wait| (TIMEOUT_HEADER, wait)));
+        let is_bodiless = matches!(self.method, Method::GET | Method::HEAD);
+        if let Some(length) = length.filter(|length| !is_bodiless || *length > 0) {
+            headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
+        }
+        request
+    }
+}
--- a/agent/src/driver/requests.rs
+++ b/agent/src/driver/requests.rs
@@ -1,183 +1,217 @@
-//! Requests that are owed an answer, and their attempts that are out.
+//! Pending requests: those that are owed an answer. Each gets one final answer, at which its attempts are cancelled as
+//! far as they are unwritten, its end is counted and, if it did not go well, logged.
 
+use super::arrival::Arrival;
+use super::attempts::{AttemptId, InFlightAttempts};
 use crate::log::{self, Log, Tried};
 use crate::metrics::{End, Taken};
-use crate::traffic::body::{Hold, Intake, Outgoing};
+use crate::traffic::body::Step;
 use crate::upstream::client::{Progress, Served};
-use balancer::{ClassId, KeyId, RequestId, Span, TenantId};
+use balancer::{AttemptNo, Event, RequestId, Span};
 use balancer_settings::Names;
-use bytes::Bytes;
-use http_body_util::Full;
-use hyper::body::Body;
-use hyper::header::{HeaderMap, HeaderValue, CONTENT_LENGTH};
-use hyper::{Method, Request, StatusCode, Uri};
+use hyper::StatusCode;
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A request as the application sent it, whole.
-pub struct Arrival {
-    /// Its method.
-    pub method: Method,
-    /// Its path and query.
-    pub uri: Uri,
-    /// The application's name for it.
-    pub name: String,
-    /// When it had come whole, or its head if its body is long.
-    pub came: Instant,
-    /// The headers that go on.
-    pub headers: HeaderMap,
-    /// Its body.
-    pub body: Content,
-    /// Its class.
-    pub class: ClassId,
-    /// Its tenant.
-    pub tenant: Option<TenantId>,
-    /// What it is about.
-    pub key: Option<KeyId>,
-    /// A guess at its work.
-    pub cost_hint: Option<Span>,
-    /// The client says that it is a repeat.
-    pub repeat: bool,
-    /// When its answer must be on its way; if its body is long, what it has left then counts from its last byte.
-    pub deadline: Instant,
+/// The one final answer to a request.
+pub enum Answer {
+    /// A server's answer, complete or begun.
+    Served(Box<Served>),
+    /// Rejected by the balancer; a retry is harmless, and makes sense after this long.
+    Rejected(Option<Span>),
+    /// Failed; it may have been executed.
+    Failed(StatusCode),
 }
 
-/// The body of a request.
-pub enum Content {
-    /// There whole, for as long as the request is.
-    Kept { bytes: Bytes, _hold: Hold },
-    /// Passed on as it comes.
-    Passed(Rc<Intake>),
+/// A request that is owed its answer.
+pub struct PendingRequest {
+    answer: oneshot::Sender<Answer>,
+    /// What the application sent.
+    pub arrival: Rc<Arrival>,
+    metrics: Taken,
+    last_attempt_timed_out: bool,
+    /// Attempts without a served answer, for the log.
+    failed_attempts: Vec<Tried>,
 }
 
-impl Arrival {
-    /// Its body, if that is passed on as it comes.
-    pub fn intake(&self) -> Option<&Rc<Intake>> {
-        match &self.body {
-            Content::Kept { .. } => None,
-            Content::Passed(intake) => Some(intake),
-        }
-    }
-
-    /// How long its client waits.
-    pub fn wait(&self) -> Duration {
-        self.deadline.saturating_duration_since(self.came)
+impl PendingRequest {
+    /// A request without attempts whose answer goes to `answer` and whose end is counted by `metrics`.
+    pub fn new(arrival: Rc<Arrival>, answer: oneshot::Sender<Answer>, metrics: Taken) -> Self {
+        let (last_attempt_timed_out, failed_attempts) = Default::default();
+        PendingRequest { answer, arrival, metrics, last_attempt_timed_out, failed_attempts }
     }
 }
 
-/// The one final answer to a request.
-pub enum Answer {
-    /// A backend's answer, whole or begun.
-    Served(Box<Served>),
-    /// Refused by the balancer; trying again is harmless, and makes sense after this long.
-    Refused(Option<Span>),
-    /// Failed, with no promise.
-    Failed(StatusCode),
+/// A server as the log names it.
+#[derive(Debug, Clone, Copy)]
+pub struct ServerLabel<'a> {
+    /// Its name on the endpoint list.
+    pub name: &'a str,
+    /// The name of its zone.
+    pub zone: &'a str,
 }
 
-/// A request that is owed its answer.
-pub struct Open {
-    /// Where its answer goes.
-    pub answer: oneshot::Sender<Answer>,
-    /// What came.
-    pub parts: Rc<Arrival>,
-    /// Its place in the metrics.
-    pub taken: Taken,
-    /// Its last attempt had no answer in time.
-    pub timed_out: bool,
-    /// Attempts that served nothing, for the log.
-    pub tried: Vec<Tried>,
+/// An attempt that has just been added.
+pub struct NewAttempt {
+    /// Its name.
+    pub id: AttemptId,
+    /// What the application sent.
+    pub arrival: Rc<Arrival>,
+    /// For the task that makes it.
+    pub progress: Rc<Progress>,
 }
 
-/// All of them.
-pub struct Requests {
-    next: u64,
-    /// Those that are owed an answer.
-    pub open: HashMap<RequestId, Open>,
-    /// Attempts that are out; one may outlive its request.
-    pub attempts: HashMap<(RequestId, u32), Rc<Progress>>,
-    /// Room in the log.
+/// All pending requests, and the attempts that are in flight.
+pub struct PendingRequests {
+    next_id: u64,
+    pending: HashMap<RequestId, PendingRequest>,
+    /// The attempts that are in flight.
+    pub attempts: InFlightAttempts,
+    /// The log's lines on requests, which are limited.
     pub log: Log,
 }
 
-impl Requests {
-    /// None yet.
+impl PendingRequests {
+    /// Has none yet.
     pub fn new(log: Log) -> Self {
-        Requests { next: 0, open: HashMap::new(), attempts: HashMap::new(), log }
+        let (pending, attempts) = Default::default();
+        PendingRequests { next_id: 0, pending, attempts, log }
     }
 
     /// A number for one more.
-    pub fn number(&mut self) -> RequestId {
-        self.next += 1;
-        RequestId(self.next - 1)
+    pub fn next_id(&mut self) -> RequestId {
+        self.next_id += 1;
+        RequestId(self.next_id - 1)
+    }
+
+    /// Adds a request.
+    pub fn insert(&mut self, id: RequestId, request: PendingRequest) {
+        self.pending.insert(id, request);
+    }
+
+    /// Whether a request is owed its answer.
+    pub fn is_pending(&self, id: RequestId) -> bool {
+        self.pending.contains_key(&id)
+    }
+
+    /// Whether a pending request's streamed body has broken off.
+    pub fn is_body_broken(&self, id: RequestId) -> bool {
+        let intake = self.pending.get(&id).and_then(|request| request.arrival.intake());
+        intake.is_some_and(|intake| intake.is_broken())
+    }
+
+    /// Adds an attempt at a request, if that is pending.
+    pub fn begin_attempt(&mut self, request: RequestId) -> Option<NewAttempt> {
+        let pending = self.pending.get_mut(&request)?;
+        let id = AttemptId { request, number: AttemptNo(pending.metrics.sends) };
+        pending.metrics.sends += 1;
+        let arrival = pending.arrival.clone();
+        Some(NewAttempt { id, arrival, progress: self.attempts.begin(id) })
+    }
+
+    /// Records an attempt without a served answer for its request, if that is pending.
+    pub fn record_failed_attempt(&mut self, request: RequestId, attempt: Tried) {
+        let Some(pending) = self.pending.get_mut(&request) else { return };
+        pending.last_attempt_timed_out = attempt.outcome == balancer::Outcome::TimedOut;
+        pending.failed_attempts.push(attempt);
     }
 
-    /// Its client no longer waits; whether it was still owed an answer.
-    pub fn gone(&mut self, id: RequestId, names: &Names) -> bool {
-        let Some(open) = self.open.remove(&id) else { return false };
-        self.stop_unwritten(id, open.taken.sends);
-        self.note(&open, End::Gone, names, None);
+    /// Records the progress of a pending request's streamed body; what the balancer is to be notified of.
+    pub fn record_body_progress(&mut self, id: RequestId, step: Step) -> Option<Event> {
+        let pending = self.pending.get_mut(&id)?;
+        Some(match step {
+            Step::Spent => Event::BodyConsumed { request: id },
+            Step::Whole => {
+                pending.metrics.whole();
+                let complete_at = pending.arrival.intake().and_then(|intake| intake.whole_at());
+                let elapsed = complete_at.map_or(Duration::ZERO, |complete_at| complete_at.elapsed());
+                let time_left = pending.arrival.wait().saturating_sub(elapsed);
+                Event::BodyComplete { request: id, time_left: Span(time_left.as_micros() as u64) }
+            }
+        })
+    }
+
+    /// Gives a request up as its client has disconnected; whether it was still owed an answer.
+    pub fn abandon(&mut self, id: RequestId, names: &Names) -> bool {
+        let Some(request) = self.remove(id) else { return false };
+        self.log_end(&request, End::Gone, names, None);
         true
     }
 
-    /// Gives a request its final answer that is not a backend's. What of it has not been written to a backend stays
-    /// unwritten.
-    pub fn answer(&mut self, id: RequestId, answer: Answer, names: &Names) {
-        let Some(open) = self.open.remove(&id) else { return };
-        self.stop_unwritten(id, open.taken.sends);
-        let end = if matches!(answer, Answer::Refused(_)) { End::Refused } else { End::Failed };
-        self.note(&open, end, names, None);
-        open.taken.end(end);
-        // A client that left at this very moment hears nothing.
-        let _ = open.answer.send(answer);
+    /// Answers a request with the balancer's rejection; a retry makes sense after `retry_after`.
+    pub fn reject(&mut self, id: RequestId, retry_after: Option<Span>, names: &Names) {
+        self.answer(id, Answer::Rejected(retry_after), End::Refused, names);
+    }
+
+    /// Answers a request with its failure: 504 if its last attempt timed out, otherwise 502.
+    pub fn fail(&mut self, id: RequestId, names: &Names) {
+        let timed_out = self.pending.get(&id).is_some_and(|request| request.last_attempt_timed_out);
+        let status = if timed_out { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
+        self.answer(id, Answer::Failed(status), End::Failed, names);
+    }
+
+    fn answer(&mut self, id: RequestId, answer: Answer, end: End, names: &Names) {
+        let Some(request) = self.remove(id) else { return };
+        self.log_end(&request, end, names, None);
+        request.metrics.end(end);
+        // A client that disconnects at this very moment gets no answer.
+        let _ = request.answer.send(answer);
     }
 
-    /// Gives a request its final answer by a backend, with which it ends.
+    /// Answers a request by what a server has served. `on_abort` is called if that breaks off on its way to the client.
     pub fn serve(
         &mut self,
         id: RequestId,
         mut served: Served,
-        broke: impl FnOnce() + 'static,
+        on_abort: impl FnOnce() + 'static,
         names: &Names,
-        by: (&str, &str),
+        server: ServerLabel,
     ) {
-        let Some(open) = self.open.remove(&id) else { return };
-        self.stop_unwritten(id, open.taken.sends);
-        self.note(&open, End::Served, names, Some(by));
-        served.body.ends(open.taken, broke);
-        let _ = open.answer.send(Answer::Served(Box::new(served)));
+        let Some(request) = self.remove(id) else { return };
+        self.log_end(&request, End::Served, names, Some(server));
+        served.body.ends(request.metrics, on_abort);
+        let _ = request.answer.send(Answer::Served(Box::new(served)));
+    }
+
+    /// Removes a request that is about to end; its unwritten attempts are cancelled.
+    fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
+        let request = self.pending.remove(&id)?;
+        self.attempts.cancel_unwritten(id, request.metrics.sends);
+        Some(request)
     }
 
-    /// Logs a request that did not go well under the application's name for it; `by` is the server that served it.
-    fn note(&mut self, open: &Open, end: End, names: &Names, by: Option<(&str, &str)>) {
+    /// Logs a request that did not go well under the application's name for it; `served_by` is the server whose answer
+    /// it got.
+    fn log_end(&mut self, request: &PendingRequest, end: End, names: &Names, served_by: Option<ServerLabel>) {
         let now = Instant::now();
-        let Open { parts, taken, tried, .. } = open;
-        // Served at last is worth a line too, if only after an attempt that was lost.
-        if (matches!(end, End::Served) && tried.is_empty()) || !self.log.room(now) {
+        let PendingRequest { arrival, metrics, failed_attempts, .. } = request;
+        // One that was served is worth a line too, if only after an attempt that failed.
+        if (matches!(end, End::Served) && failed_attempts.is_empty()) || !self.log.room(now) {
             return;
         }
-        let last = || tried.last().map_or(("", ""), |tried| (tried.server.as_str(), tried.zone.as_str()));
-        let (server, zone) = by.unwrap_or_else(last);
-        let class = names.classes.get(parts.class.0).map_or("", String::as_str);
-        let ms = |time: Duration| (time.as_secs_f64() * 1e4).round() / 10.0;
-        let took_ms = ms(now.saturating_duration_since(parts.came));
-        let of_ms = ms(parts.deadline.saturating_duration_since(parts.came));
+        let server = served_by.unwrap_or_else(|| match failed_attempts.last() {
+            Some(attempt) => ServerLabel { name: &attempt.server, zone: &attempt.zone },
+            None => ServerLabel { name: "", zone: "" },
+        });
+        let class = names.classes.get(arrival.class.0).map_or("", String::as_str);
+        let took_ms = tenths_of_ms(now.saturating_duration_since(arrival.arrived_at));
+        let of_ms = tenths_of_ms(arrival.wait());
         macro_rules! line {
             ($level:ident, $outcome:literal) => {
                 tracing::$level!(
                     target: "request",
-                    request = format_args!("{:.64}", parts.name),
+                    request = format_args!("{:.64}", arrival.name),
                     class,
                     outcome = $outcome,
-                    server,
-                    zone,
+                    server = server.name,
+                    zone = server.zone,
                     took_ms,
                     of_ms,
-                    sent = taken.sends,
-                    tried = log::attempts(tried),
+                    sent = metrics.sends,
+                    tried = log::attempts(failed_attempts),
                     $outcome
                 )
             };
@@ -190,40 +224,16 @@
         }
     }
 
-    /// Logs a request that made no sense and was turned away.
-    pub fn turned_away(&mut self, request: &str, status: StatusCode, why: &str) {
+    /// Logs a request that was invalid and has been answered so with this status.
+    pub fn log_invalid(&mut self, request: &str, status: StatusCode, reason: &str) {
         if self.log.room(Instant::now()) {
             let status = status.as_u16();
-            tracing::warn!(target: "request", request = format_args!("{request:.64}"), outcome = "turned away", status, "{why}");
-        }
-    }
-
-    fn stop_unwritten(&self, id: RequestId, sends: u32) {
-        for attempt in 0..sends {
-            if let Some(progress) = self.attempts.get(&(id, attempt)).filter(|p| !p.may_have_run()) {
-                progress.call_off();
-            }
+            tracing::warn!(target: "request", request = format_args!("{request:.64}"), outcome = "turned_away", status, "{reason}");
         }
     }
 }
 
-/// What goes to a backend: the request unchanged, and how long the agent will wait.
-pub fn outgoing(parts: &Arrival, wait: Duration) -> Request<Outgoing> {
-    let body = match &parts.body {
-        Content::Kept { bytes, .. } => Outgoing::Kept(Full::new(bytes.clone())),
-        Content::Passed(intake) => Outgoing::of(intake),
-    };
-    let length = body.size_hint().exact();
-    let mut request = Request::new(body);
-    *request.method_mut() = parts.method.clone();
-    *request.uri_mut() = parts.uri.clone();
-    *request.headers_mut() = parts.headers.clone();
-    let wait = HeaderValue::from_str(&format!("{}u", wait.as_micros().max(1)));
-    let headers = request.headers_mut();
-    headers.extend(wait.ok().map(|wait| (hyper::header::HeaderName::from_static("x-timeout"), wait)));
-    let bodiless = matches!(parts.method, Method::GET | Method::HEAD);
-    if let Some(length) = length.filter(|length| !bodiless || *length > 0) {
-        headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
-    }
-    request
+/// A duration in milliseconds, rounded to tenths.
+fn tenths_of_ms(duration: Duration) -> f64 {
+    (duration.as_secs_f64() * 1e4).round() / 10.0
 }
--- a/agent/src/driver/servers.rs
+++ b/agent/src/driver/servers.rs
@@ -1,83 +1,100 @@
-//! The servers by name and number, and the list in the balancer's terms.
+//! The known servers by name and number, and the endpoint list in the balancer's terms.
 //!
-//! An answer of discovery is taken in as it comes, a step at a time, so that its length costs no request its time: what
-//! it says of servers that are known holds at once, those that it adds wait for its end, and those that a whole list
-//! does not name are gone then. An answer that breaks off adds nothing and removes nothing.
+//! An answer of discovery is applied as it arrives, in steps, so that its length delays no request: what it says of
+//! known servers holds at once, those that it adds wait for its end, and those that a complete list does not name are
+//! removed then. An answer that breaks off adds nothing and removes nothing.
 
 use super::clock::WallClock;
-use crate::endpoint_list::{Envelope, Health, Host, List, Unread};
+use super::known_server::{endpoint, unix_time, KnownServer, ListedServer};
+use crate::endpoint_list::{Envelope, Health, Host, InvalidEntry, List};
 use crate::metrics::Attempts;
-use balancer::{CellId, Endpoint, KindId, ServerId, Status, Time, ZoneId};
+use balancer::{Endpoint, ServerId, Status, Time, ZoneId};
 use balancer_settings::{fnv1a, Names};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
-use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How a server is called, and where it stands by the list.
-struct Known {
-    name: String,
-    /// As the last entry that could be read has it, and what of that is not the balancer's.
-    listed: Option<(Endpoint, Option<SocketAddr>, f64)>,
-    /// The last answer that named it, by number.
-    named_in: u64,
-}
+/// Zones past this many are counted as one without a name.
+const MAX_ZONES: usize = 256;
+/// Servers removed from the endpoint list that are remembered: more than a zone of the planned size (830) has.
+const MAX_REMOVED: usize = 1024;
+/// Invalid entries of one answer that are logged one by one.
+const MAX_LOGGED_INVALID_ENTRIES: usize = 8;
 
-/// An answer that is being taken in.
+/// An answer of discovery that is being applied.
 #[derive(Default)]
-struct Taking {
+struct PendingAnswer {
     /// Its number among all answers.
     number: u64,
-    /// Servers that it adds, and how many more it named than there is room for.
+    /// Servers that it adds.
     added: VecDeque<Host>,
-    left_out: usize,
-    /// Entries that made no sense.
-    unread: usize,
-    /// What it is, once it has ended.
+    /// How many more it adds than there is capacity for.
+    over_capacity: usize,
+    invalid_entries: usize,
+    /// Its version and whether it is complete, once it has ended.
     envelope: Option<Envelope>,
-    /// Servers that are gone by it.
-    gone: Vec<ServerId>,
+    /// Servers that it removes.
+    removed: Vec<ServerId>,
 }
 
-/// What is known of the servers by the list.
+/// A part of an answer in the balancer's terms.
+pub struct Step {
+    /// What has changed.
+    pub endpoints: Vec<Endpoint>,
+    /// The answer is applied completely.
+    pub is_last: bool,
+}
+
+/// A server that has just been forgotten.
+pub struct ForgottenServer {
+    /// The number that it had.
+    pub server: ServerId,
+    /// The name of its zone.
+    pub zone: String,
+}
+
+/// What is known of the servers by the endpoint list.
 pub struct Servers {
     ids: HashMap<String, ServerId>,
-    known: HashMap<ServerId, Known>,
-    /// Servers that the list says are up.
-    up: HashSet<ServerId>,
-    /// The zones in which servers stand or stood, by number.
+    known: HashMap<ServerId, KnownServer>,
+    /// Servers that accept requests by the list.
+    serving: HashSet<ServerId>,
+    /// The names of the zones in which servers are or were.
     zones: BTreeMap<ZoneId, String>,
-    /// The attempts at servers that have left the list, by zone.
-    left: BTreeMap<String, Attempts>,
-    /// Those that were last to leave it, in that order: attempts may still be out there, and logs name them.
-    gone: VecDeque<ServerId>,
-    /// Named by an operator; their numbers stand for what the operator said.
-    kept: HashSet<ServerId>,
-    /// How many may be known.
-    most: usize,
-    taking: Taking,
-    /// Places the start times of the list.
+    /// The attempts at forgotten servers, by zone.
+    forgotten_attempts: BTreeMap<String, Attempts>,
+    /// Removed servers, the first removed first: attempts may still be in flight there, and logs name them.
+    removed: VecDeque<ServerId>,
+    /// Servers that an operator has named: their numbers stand for the operator's commands.
+    named_by_operator: HashSet<ServerId>,
+    max_servers: usize,
+    answer: PendingAnswer,
+    /// Converts the start times of the list.
     wall_clock: Rc<WallClock>,
-    /// The version of the list, as the discovery that is called now counts; none before its first list.
-    pub seq: Option<u64>,
+    /// The version of the list, as the present discovery counts; none before its first list.
+    pub version: Option<u64>,
 }
 
-/// Zones past this many are counted as one without a name.
-const ZONES_MOST: usize = 256;
-/// Servers that have left the list and are remembered: more than a zone of the planned size (830) has.
-const GONE_MOST: usize = 1024;
-/// Entries without sense that are told a line each, for one answer.
-const UNREAD_TOLD: usize = 8;
-
 impl Servers {
-    /// Knows none; at most so many will be known at once.
-    pub fn new(most: usize, wall_clock: Rc<WallClock>) -> Self {
-        let (ids, known, up, zones, left, gone, kept, taking) = Default::default();
-        Servers { ids, known, up, zones, left, gone, kept, most, taking, wall_clock, seq: None }
+    /// Knows none; at most `max_servers` will be known at once.
+    pub fn new(max_servers: usize, wall_clock: Rc<WallClock>) -> Self {
+        Servers {
+            ids: HashMap::new(),
+            known: HashMap::new(),
+            serving: HashSet::new(),
+            zones: BTreeMap::new(),
+            forgotten_attempts: BTreeMap::new(),
+            removed: VecDeque::new(),
+            named_by_operator: HashSet::new(),
+            max_servers,
+            answer: PendingAnswer::default(),
+            wall_clock,
+            version: None,
+        }
     }
 
-    /// Whether there is one to send to.
-    pub fn any_up(&self) -> bool {
-        !self.up.is_empty()
+    /// Whether there is a server to send to.
+    pub fn has_serving(&self) -> bool {
+        !self.serving.is_empty()
     }
 
     /// The number of a server that has had this name.
@@ -85,259 +102,271 @@
         self.ids.get(name).copied()
     }
 
-    /// A server's name.
+    /// A server's name; empty if it is not known.
     pub fn name(&self, server: ServerId) -> &str {
         self.known.get(&server).map_or("", |known| &known.name)
     }
 
-    /// A server's zone, as the list names it.
+    /// The name of a server's zone; empty if it is not known.
     pub fn zone(&self, server: ServerId) -> &str {
-        let listed = self.known.get(&server).and_then(|known| known.listed.as_ref());
-        listed.map_or("", |(listed, ..)| self.zone_name(listed.zone))
+        self.listed(server).map_or("", |listed| self.zone_name(listed.endpoint.zone))
     }
 
-    /// When a server has started, as the list has it.
-    pub fn born(&self, server: ServerId) -> Option<Time> {
-        let (_, _, born_ms) = self.known.get(&server)?.listed.as_ref()?;
-        unix_time(*born_ms)
+    /// A zone's name as the list has it; empty if it is not known.
+    pub fn zone_name(&self, zone: ZoneId) -> &str {
+        self.zones.get(&zone).map_or("", String::as_str)
     }
 
-    /// The same in the balancer's time.
-    pub fn started(&self, server: ServerId) -> Option<Time> {
-        let (listed, ..) = self.known.get(&server)?.listed.as_ref()?;
-        listed.started
+    /// Whether a server is or was in a zone of this name.
+    pub fn has_zone(&self, zone: &str) -> bool {
+        self.zones.values().any(|known| known == zone)
     }
 
-    /// When the server of an entry has started. What is known of the same start stays as it is, whatever the wall clock
-    /// has been set to since.
-    fn start_of(&self, server: ServerId, host: &Host) -> Option<Time> {
-        let born = unix_time(host.born_ms)?;
-        let same = self.born(server) == Some(born);
-        self.started(server).filter(|_| same).or_else(|| Some(self.wall_clock.time(born)))
+    /// Logs a decision of the balancer with the names of what it is about.
+    pub fn log_decision(&self, server: Option<ServerId>, zone: Option<ZoneId>, text: &str) {
+        let zone = match zone {
+            Some(zone) => self.zone_name(zone),
+            None => server.map_or("", |server| self.zone(server)),
+        };
+        let server = server.map_or("", |server| self.name(server));
+        tracing::warn!(target: "decisions", server, zone, "{text}");
     }
 
-    /// A zone's name, as the list has it.
-    pub fn zone_name(&self, zone: ZoneId) -> &str {
-        self.zones.get(&zone).map_or("", String::as_str)
+    /// When a server has started, as Unix time by the list.
+    pub fn listed_start(&self, server: ServerId) -> Option<Time> {
+        unix_time(self.listed(server)?.born_ms)
     }
 
-    /// Whether a server has stood in this zone.
-    pub fn knows_zone(&self, zone: &str) -> bool {
-        self.zones.values().any(|known| known == zone)
+    /// When a server has started, in the balancer's time.
+    pub fn start(&self, server: ServerId) -> Option<Time> {
+        self.listed(server)?.endpoint.started
     }
 
-    /// A server has been forgotten; what was counted of it stays its zone's.
-    pub fn left(&mut self, zone: &str, attempts: &Attempts) {
-        let room = self.left.len() < ZONES_MOST || self.left.contains_key(zone);
-        self.left.entry(if room { zone.to_owned() } else { String::new() }).or_default().add(attempts);
+    fn listed(&self, server: ServerId) -> Option<&ListedServer> {
+        self.known.get(&server)?.listed.as_ref()
     }
 
-    /// The attempts at servers that have left the list, by zone; of those that are not forgotten yet out of these.
-    pub fn left_by_zone(&self, attempts: &HashMap<ServerId, Attempts>) -> BTreeMap<String, Attempts> {
-        let mut left = self.left.clone();
-        for (server, attempts) in attempts.iter().filter(|(server, _)| self.is_gone(**server)) {
-            left.entry(self.zone(*server).to_owned()).or_default().add(attempts);
-        }
-        left
+    /// When the server of an entry has started, in the balancer's time. What is known of the same start stays as it is,
+    /// whatever the wall clock has been set to since.
+    fn start_of_entry(&self, server: ServerId, host: &Host) -> Option<Time> {
+        let listed_start = unix_time(host.born_ms)?;
+        let is_same = self.listed_start(server) == Some(listed_start);
+        self.start(server).filter(|_| is_same).or_else(|| Some(self.wall_clock.time(listed_start)))
+    }
+
+    /// Adds the attempts at a forgotten server to those of its zone.
+    pub fn add_removed_attempts(&mut self, zone: &str, attempts: &Attempts) {
+        let has_capacity =
+            self.forgotten_attempts.len() < MAX_ZONES || self.forgotten_attempts.contains_key(zone);
+        let zone = if has_capacity { zone.to_owned() } else { String::new() };
+        self.forgotten_attempts.entry(zone).or_default().add(attempts);
     }
 
-    fn is_gone(&self, server: ServerId) -> bool {
-        let listed = self.known.get(&server).and_then(|known| known.listed.as_ref());
-        listed.is_some_and(|(listed, ..)| listed.status == Status::Gone)
+    /// The attempts at servers that were removed from the list, by zone. Those at servers that are not forgotten yet
+    /// are in `attempts`.
+    pub fn removed_attempts_by_zone(
+        &self,
+        attempts: &HashMap<ServerId, Attempts>,
+    ) -> BTreeMap<String, Attempts> {
+        let mut by_zone = self.forgotten_attempts.clone();
+        let is_removed = |server| self.known.get(server).is_some_and(KnownServer::is_removed);
+        for (server, attempts) in attempts.iter().filter(|(server, _)| is_removed(*server)) {
+            by_zone.entry(self.zone(*server).to_owned()).or_default().add(attempts);
+        }
+        by_zone
     }
 
-    /// Discovery is called; of an answer that was being taken in nothing more comes.
-    pub fn called(&mut self) {
-        self.taking = Taking { number: self.taking.number + 1, ..Taking::default() };
+    /// Discovery is being called; of an answer that was being applied nothing more comes.
+    pub fn begin_answer(&mut self) {
+        self.answer = PendingAnswer { number: self.answer.number + 1, ..PendingAnswer::default() };
     }
 
-    /// Entries of an answer have come. What they say of servers that are known is in the balancer's terms here; where
-    /// those are reached is for `describe`.
-    pub fn take(
+    /// Applies entries of an answer: what they change of known servers, in the balancer's terms. `describe` gets the
+    /// entries that change something, with their servers' numbers.
+    pub fn apply_entries(
         &mut self,
-        entries: Vec<Result<Host, Unread>>,
+        entries: Vec<Result<Host, InvalidEntry>>,
         names: &Names,
         mut describe: impl FnMut(ServerId, &Host),
     ) -> Vec<Endpoint> {
-        let mut lines = Vec::new();
+        let mut endpoints = Vec::new();
         for entry in entries {
             match entry {
                 Ok(host) => match self.ids.get(&host.name) {
-                    Some(&server) => lines.extend(self.line(server, &host, names, &mut describe)),
-                    // One that was never known has nothing to be told of its end.
-                    None if host.health == Health::Removed => {}
-                    None if self.known.len() + self.taking.added.len() >= self.most => {
-                        self.taking.left_out += 1
+                    Some(&server) => {
+                        endpoints.extend(self.apply_entry(server, &host, names, &mut describe));
                     }
-                    None => self.taking.added.push_back(host),
+                    None => self.add(host),
                 },
-                Err(unread) => self.unread(unread),
+                Err(entry) => self.record_invalid_entry(entry),
             }
         }
-        lines
+        endpoints
     }
 
-    /// An entry makes no sense: what was known of its server stands.
-    fn unread(&mut self, Unread { name, why }: Unread) {
-        let server = name.as_deref().and_then(|name| self.ids.get(name));
+    /// Adds a server that is not known to those that wait for the answer's end.
+    fn add(&mut self, host: Host) {
+        // The removal of one that was never known changes nothing.
+        if host.health == Health::Removed {
+            return;
+        }
+        if self.known.len() + self.answer.added.len() >= self.max_servers {
+            self.answer.over_capacity += 1;
+        } else {
+            self.answer.added.push_back(host);
+        }
+    }
+
+    /// An entry is invalid: what was known of its server stands.
+    fn record_invalid_entry(&mut self, entry: InvalidEntry) {
+        let server = entry.name.as_deref().and_then(|name| self.ids.get(name));
         if let Some(known) = server.and_then(|server| self.known.get_mut(server)) {
-            known.named_in = self.taking.number;
+            known.last_answer = self.answer.number;
         }
-        self.taking.unread += 1;
-        if self.taking.unread <= UNREAD_TOLD {
-            tracing::warn!(target: "discovery", server = name.as_deref().unwrap_or(""), "a line of the list is not taken: {why}");
+        self.answer.invalid_entries += 1;
+        if self.answer.invalid_entries <= MAX_LOGGED_INVALID_ENTRIES {
+            let server = entry.name.as_deref().unwrap_or("");
+            tracing::warn!(target: "discovery", server, "a line of the list is not taken: {entry}");
         }
     }
 
-    /// The answer has ended as it should; [`Servers::step`] does what follows.
-    pub fn ends(&mut self, envelope: Envelope) {
-        let Taking { number, left_out, unread, .. } = self.taking;
-        let most = self.most;
-        if unread > UNREAD_TOLD {
-            let more = unread - UNREAD_TOLD;
-            tracing::warn!(target: "discovery", "{more} more lines of list {} are not taken", envelope.seq);
+    /// The answer has ended as it should; [`Servers::apply_step`] applies the rest of it.
+    pub fn end_answer(&mut self, envelope: Envelope) {
+        let PendingAnswer { number, over_capacity, invalid_entries, .. } = self.answer;
+        let version = envelope.seq;
+        if invalid_entries > MAX_LOGGED_INVALID_ENTRIES {
+            let more = invalid_entries - MAX_LOGGED_INVALID_ENTRIES;
+            tracing::warn!(target: "discovery", "{more} more lines of list {version} are not taken");
         }
-        if left_out > 0 {
-            tracing::warn!(target: "discovery", "list {}: {left_out} servers are not taken, there is room for {most}", envelope.seq);
+        if over_capacity > 0 {
+            let max = self.max_servers;
+            tracing::warn!(target: "discovery", "list {version}: {over_capacity} servers are not taken, the capacity is {max}");
         }
-        if envelope.whole {
-            let stands =
-                |known: &Known| known.listed.as_ref().is_some_and(|(l, ..)| l.status != Status::Gone);
-            let gone = self.known.iter().filter(|(_, known)| known.named_in != number && stands(known));
-            self.taking.gone = gone.map(|(server, _)| *server).collect();
-            // The balancer's decisions must not hang on the order of a hash table.
-            self.taking.gone.sort_unstable();
+        if envelope.is_complete {
+            let is_missing = |known: &KnownServer| known.last_answer != number && known.is_present();
+            let missing = self.known.iter().filter(|(_, known)| is_missing(known));
+            self.answer.removed = missing.map(|(server, _)| *server).collect();
+            // The balancer's decisions must not depend on the order of a hash table.
+            self.answer.removed.sort_unstable();
         }
-        self.taking.envelope = Some(envelope);
+        self.answer.envelope = Some(envelope);
     }
 
-    /// Up to `most` of the servers that the answer adds, and then of those that are gone by it, in the balancer's terms;
-    /// and whether that is all. Those that come are first: between both there must be some to send to.
-    pub fn step(
+    /// Applies up to `max` of the servers that the answer adds, and then of those that it removes. Added ones are first:
+    /// in between there must be some to send to.
+    pub fn apply_step(
         &mut self,
-        most: usize,
+        max: usize,
         names: &Names,
         mut describe: impl FnMut(ServerId, &Host),
-    ) -> (Vec<Endpoint>, bool) {
-        let mut lines = Vec::new();
-        while lines.len() < most {
-            if let Some(host) = self.taking.added.pop_front() {
+    ) -> Step {
+        let mut endpoints = Vec::new();
+        while endpoints.len() < max {
+            if let Some(host) = self.answer.added.pop_front() {
                 let server = self.intern(&host.name);
-                lines.extend(self.line(server, &host, names, &mut describe));
-            } else if let Some(server) = self.taking.gone.pop() {
-                lines.extend(self.gone(server, &mut describe));
+                endpoints.extend(self.apply_entry(server, &host, names, &mut describe));
+            } else if let Some(server) = self.answer.removed.pop() {
+                endpoints.extend(self.remove(server, &mut describe));
             } else {
                 break;
             }
         }
-        let done = self.taking.added.is_empty() && self.taking.gone.is_empty();
-        if let Some(envelope) = self.taking.envelope.filter(|_| done) {
-            self.seq = Some(envelope.seq);
+        let is_last = self.answer.added.is_empty() && self.answer.removed.is_empty();
+        if let Some(envelope) = self.answer.envelope.filter(|_| is_last) {
+            self.version = Some(envelope.seq);
         }
-        (lines, done)
+        Step { endpoints, is_last }
     }
 
-    /// Takes in the list that is there whole at the start.
-    pub fn begin(
+    /// Applies a list that is there completely, as at the start.
+    pub fn apply_list(
         &mut self,
         list: List,
         names: &Names,
         mut describe: impl FnMut(ServerId, &Host),
     ) -> Vec<Endpoint> {
-        self.called();
-        let unread = list.unread.into_iter().map(Err);
-        let mut lines =
-            self.take(list.hosts.into_iter().map(Ok).chain(unread).collect(), names, &mut describe);
-        self.ends(Envelope { seq: list.seq, whole: list.whole });
-        lines.extend(self.step(usize::MAX, names, describe).0);
-        lines
+        self.begin_answer();
+        let invalid = list.invalid_entries.into_iter().map(Err);
+        let entries = list.hosts.into_iter().map(Ok).chain(invalid).collect();
+        let mut endpoints = self.apply_entries(entries, names, &mut describe);
+        self.end_answer(Envelope { seq: list.seq, is_complete: list.is_complete });
+        endpoints.extend(self.apply_step(usize::MAX, names, describe).endpoints);
+        endpoints
     }
 
-    /// An entry in the balancer's terms, unless it says what is known.
-    fn line(
+    /// Applies an entry to its server; none if it changes nothing.
+    fn apply_entry(
         &mut self,
         server: ServerId,
         host: &Host,
         names: &Names,
         describe: &mut impl FnMut(ServerId, &Host),
     ) -> Option<Endpoint> {
-        let zone = ZoneId(place(&names.zones, &host.site));
-        if self.zones.get(&zone).is_none_or(|name| *name != host.site) && self.zones.len() < ZONES_MOST {
-            self.zones.insert(zone, host.site.clone());
-        }
-        let line = Endpoint {
-            server,
-            zone,
-            kind: KindId(place(&names.kinds, &host.kind)),
-            cell: CellId(host.block),
-            status: match host.health {
-                Health::Up => Status::Serving,
-                Health::Draining => Status::Draining,
-                Health::Removed => Status::Gone,
-            },
-            weight: host.share,
-            started: self.start_of(server, host),
-        };
+        let endpoint = endpoint(server, host, names, self.start_of_entry(server, host));
+        self.record_zone_name(endpoint.zone, &host.zone);
         let known = self.known.get_mut(&server)?;
-        known.named_in = self.taking.number;
-        let now = Some((line.clone(), host.dial, host.born_ms));
-        if known.listed == now {
+        known.last_answer = self.answer.number;
+        let listed = ListedServer { endpoint: endpoint.clone(), address: host.dial, born_ms: host.born_ms };
+        if known.listed.as_ref() == Some(&listed) {
             return None;
         }
-        known.listed = now;
+        known.listed = Some(listed);
         describe(server, host);
-        if line.status == Status::Serving {
-            self.up.insert(server);
-        } else {
-            self.up.remove(&server);
+        match endpoint.status {
+            Status::Serving => self.serving.insert(server),
+            _ => self.serving.remove(&server),
+        };
+        if endpoint.status == Status::Gone {
+            self.removed.push_back(server);
         }
-        if line.status == Status::Gone {
-            self.gone.push_back(server);
+        Some(endpoint)
+    }
+
+    fn record_zone_name(&mut self, zone: ZoneId, name: &str) {
+        let is_new = self.zones.get(&zone).is_none_or(|known| known != name);
+        if is_new && self.zones.len() < MAX_ZONES {
+            self.zones.insert(zone, name.to_owned());
         }
-        Some(line)
     }
 
-    /// A server that a whole list does not name is gone, whatever else was known of it.
-    fn gone(&mut self, server: ServerId, describe: &mut impl FnMut(ServerId, &Host)) -> Option<Endpoint> {
+    /// Removes a server that a complete list does not name, whatever else was known of it.
+    fn remove(&mut self, server: ServerId, describe: &mut impl FnMut(ServerId, &Host)) -> Option<Endpoint> {
         let known = self.known.get_mut(&server)?;
-        let (line, dial, born_ms) = known.listed.as_mut()?;
-        line.status = Status::Gone;
-        let (name, health, share) = (known.name.clone(), Health::Removed, line.weight);
-        let (site, kind, block) = (String::new(), String::new(), line.cell.0);
-        describe(server, &Host { name, dial: *dial, site, kind, block, health, share, born_ms: *born_ms });
-        let line = line.clone();
-        self.up.remove(&server);
-        self.gone.push_back(server);
-        Some(line)
+        let host = known.remove()?;
+        let endpoint = known.listed.as_ref()?.endpoint.clone();
+        describe(server, &host);
+        self.serving.remove(&server);
+        self.removed.push_back(server);
+        Some(endpoint)
     }
 
-    /// Forgets a server that left the list long ago, if there is one: its number and its zone.
-    pub fn forget(&mut self) -> Option<(ServerId, String)> {
-        while self.gone.len() > GONE_MOST {
-            let server = self.gone.pop_front()?;
-            let is_gone =
-                |known: &&Known| known.listed.as_ref().is_some_and(|(l, ..)| l.status == Status::Gone);
-            let gone = self.known.get(&server).filter(is_gone);
-            if let Some(name) = gone.filter(|_| !self.kept.contains(&server)).map(|known| known.name.clone())
-            {
-                let zone = self.zone(server).to_owned();
-                self.ids.remove(&name);
-                self.known.remove(&server);
-                return Some((server, zone));
+    /// Forgets the server that was removed first, if more than [`MAX_REMOVED`] are remembered.
+    pub fn forget_oldest_removed(&mut self) -> Option<ForgottenServer> {
+        while self.removed.len() > MAX_REMOVED {
+            let server = self.removed.pop_front()?;
+            // It may have been added again since, or be named by an operator.
+            let is_removed = self.known.get(&server).is_some_and(KnownServer::is_removed);
+            if !is_removed || self.named_by_operator.contains(&server) {
+                continue;
+            }
+            let zone = self.zone(server).to_owned();
+            if let Some(known) = self.known.remove(&server) {
+                self.ids.remove(&known.name);
+                return Some(ForgottenServer { server, zone });
             }
         }
         None
     }
 
-    /// The number of a server that staff have named, which it keeps from now on.
-    pub fn keep(&mut self, name: &str) -> ServerId {
+    /// The number of a server that an operator has named, which it keeps from now on.
+    pub fn intern_for_operator(&mut self, name: &str) -> ServerId {
         let server = self.intern(name);
-        self.kept.insert(server);
+        self.named_by_operator.insert(server);
         server
     }
 
-    /// A server's number is a hash of its name, the same at every agent. Should two names meet in one number,
-    /// the later one takes the next that is free.
+    /// A server's number is a hash of its name, the same at every agent. Should two names have the same hash, the later
+    /// one gets the next free number.
     fn intern(&mut self, name: &str) -> ServerId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -347,24 +376,12 @@
             id = id.wrapping_add(1);
         }
         tracing::debug!(target: "discovery", "server {id} is {name}");
-        let known = Known { name: name.to_owned(), listed: None, named_in: self.taking.number };
+        let known = KnownServer { name: name.to_owned(), listed: None, last_answer: self.answer.number };
         self.known.insert(ServerId(id), known);
         self.ids.insert(name.to_owned(), ServerId(id));
         ServerId(id)
     }
 }
 
-/// A start time of the list; 0 is long ago.
-fn unix_time(born_ms: f64) -> Option<Time> {
-    (born_ms > 0.0).then(|| Time::from_ms(born_ms))
-}
-
-/// A name's place in the settings; one that they lack gets a number of its own past them, so that no two zones
-/// pass for one.
-pub fn place(names: &[String], name: &str) -> u32 {
-    let known = names.iter().position(|n| n == name);
-    known.unwrap_or_else(|| names.len() + (fnv1a(name) as u32 >> 1) as usize) as u32
-}
-
 #[cfg(test)]
 mod tests;
--- a/agent/src/process.rs
+++ b/agent/src/process.rs
@@ -98,7 +98,7 @@
     let folder = std::env::var_os("TMPDIR").filter(|_| operator.is_some()).map(PathBuf::from);
     let driver = Driver::start(config, backends).map_err(|e| e.to_string())?;
     if let Some(fleet) = &fleet {
-        driver.regions(&fleet.regions);
+        driver.set_regions(&fleet.regions);
     }
     let admin = Admin::new(driver.clone(), folder, name.clone(), listen.to_string());
     let mut driven = tokio::task::spawn_local(driver.clone().run());
@@ -107,7 +107,7 @@
     let accepting = tokio::task::spawn_local(async move {
         // Meanwhile the process beside takes what comes, or it waits in the queue that the platform holds.
         let usable = async {
-            while handed_on && !ready.ready() {
+            while handed_on && !ready.is_ready() {
                 sleep(FLUSH).await;
             }
         };
@@ -141,7 +141,7 @@
                 match Config::discovery_now(|name| std::env::var(name).ok()) {
                     Ok(discovery) => {
                         tracing::info!(target: "process", "{name}: discovery is at {discovery} now");
-                        driver.discovery_moved(discovery);
+                        driver.set_discovery_address(discovery);
                     }
                     // What was known still stands: a bad file must not end a running agent.
                     Err(why) => tracing::warn!(target: "process", "{name}: the new configuration is not taken: {why}"),
@@ -193,7 +193,7 @@
         Ok((changes, new)) => {
             let changes = if changes.is_empty() { "nothing changed".to_owned() } else { changes.join("; ") };
             tracing::info!(target: "process", "{name}: the fleet file is read again: {changes}");
-            driver.regions(&new.regions);
+            driver.set_regions(&new.regions);
             *fleet = new;
         }
         Err(why) => {
--- a/agent/src/upstream/discovery.rs
+++ b/agent/src/upstream/discovery.rs
@@ -3,7 +3,7 @@
 //! When to begin a watch and when to ask again after a failure is the balancer's to say
 //! ([`balancer::Action::Watch`], [`balancer::Action::FetchEndpoints`]); a watch once begun is kept up here.
 
-use crate::endpoint_list::{Envelope, Host, Reader, Unread};
+use crate::endpoint_list::{Envelope, Host, InvalidEntry, ListError, Reader};
 use crate::traffic::socket::Socket;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -42,7 +42,7 @@
     /// A call has been made; what an earlier answer began is no more.
     Called,
     /// Entries of an answer that is still coming, [`STEP`] at most.
-    Entries(Vec<Result<Host, Unread>>),
+    Entries(Vec<Result<Host, InvalidEntry>>),
     /// The answer has ended as it should.
     Whole(Envelope),
     /// There was more to be done for that than fits beside requests: the next step of it.
@@ -171,7 +171,7 @@
     let entries = reader.entries();
     let answer = match answer {
         // Half an answer is no word of its own.
-        Ok(()) if !reader.is_whole() => reader.end().map_err(|why| Failure::Broke(no_list(&why))),
+        Ok(()) if !reader.is_complete() => reader.end().map_err(|why| Failure::Broke(no_list(&why))),
         Ok(()) => reader.end().map_err(|why| Failure::Senseless(no_list(&why))),
         Err(failure) => Err(failure),
     };
@@ -179,8 +179,8 @@
     match answer {
         Ok(envelope) => {
             // A watch that had nothing to tell says nothing here either.
-            if envelope.whole || entries > 0 {
-                let what = if envelope.whole { "the whole list" } else { "changes" };
+            if envelope.is_complete || entries > 0 {
+                let what = if envelope.is_complete { "the whole list" } else { "changes" };
                 tracing::info!(target: "discovery", "{what} to {}, {entries} entries, after {after:.1} ms", envelope.seq);
             }
             let mut more = news(News::Whole(envelope));
@@ -203,7 +203,7 @@
     }
 }
 
-fn no_list(why: &str) -> String {
+fn no_list(why: &ListError) -> String {
     format!("its answer is no list: {why}")
 }
 
@@ -250,7 +250,7 @@
         let frame = timeout_at(until, body.frame()).await.map_err(|_| silent("whole answer in time"))?;
         let Some(frame) = frame else { return Ok(()) };
         let Ok(data) = frame.map_err(|why| broke(&why))?.into_data() else { continue };
-        let senseless = |why: String| Failure::Senseless(no_list(&why));
+        let senseless = |why: ListError| Failure::Senseless(no_list(&why));
         reader.push(&data).map_err(senseless)?;
         loop {
             let mut entries = Vec::new();
--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,7 +5,9 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 33] = [
+const LAYERS: [&str; 41] = [
+    "endpoint_list/entry",
+    "endpoint_list/reader",
     "endpoint_list",
     "admin_api",
     "metrics",
@@ -27,8 +29,14 @@
     "peers/listener",
     "driver/clock",
     "driver/queue",
+    "driver/known_server",
     "driver/servers",
+    "driver/arrival",
+    "driver/attempts",
     "driver/requests",
+    "driver/endpoint_updates",
+    "driver/state",
+    "driver/view",
     "driver",
     "downstream/server",
     "admin/saver",
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -119,7 +119,7 @@
     while !waits.is_empty() && Instant::now() < until {
         let now = now_us();
         waits.retain(|&n| {
-            let knows = agents[n].server(server).is_some();
+            let knows = agents[n].view().server_id(server).is_some();
             if knows {
                 known[n] = now;
             }
