--- a/agent/src/driver/clock.rs
+++ b/agent/src/driver/clock.rs
@@ -1,7 +1,7 @@
 //! The balancer's time, and how readings of the wall clock are placed in it.
 //!
 //! The balancer's time is Unix time at the start, carried on by the monotonic clock, so no step of the wall clock moves
-//! a deadline or a time that is already known. Times that come from outside (`born_ms` of the list, the words of another
+//! a deadline or a time that is already known. Times that come from outside (`born_ms` of the endpoint list, the operator commands in another
 //! process) are readings of the wall clock, which may have been stepped since: [`WallClock`] keeps what it showed when.
 
 use balancer::{Span, Time};
@@ -10,29 +10,29 @@
 use tokio::time::Instant;
 
 /// A wall clock that is off by more has been stepped; less is left alone, so that nothing moves without a step.
-const STEP_LEAST: Duration = Duration::from_secs(1);
-/// A reading of both clocks that took longer says nothing: the process may have been stopped between the two.
-const READING_MOST: Duration = Duration::from_millis(100);
-/// So many times between steps are kept, the first one and the latest.
-const PERIODS_MOST: usize = 16;
+const MIN_STEP: Duration = Duration::from_secs(1);
+/// A reading of both clocks that took longer is ignored: the process may have been stopped between the two.
+const MAX_READING_TIME: Duration = Duration::from_millis(100);
+/// So many periods between steps are remembered, the first one and the latest.
+const MAX_PERIODS: usize = 16;
 
 /// The balancer's time.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    /// The start.
+    /// When it was started.
     pub origin: Instant,
-    unix: Span,
+    unix_origin: Span,
 }
 
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Self {
-        Clock { origin: Instant::now(), unix: Span(unix_now().0) }
+        Clock { origin: Instant::now(), unix_origin: Span(unix_now().0) }
     }
 
     /// The time at `instant`.
     pub fn at(&self, instant: Instant) -> Time {
-        Time(self.unix.0 + instant.saturating_duration_since(self.origin).as_micros() as u64)
+        Time(self.unix_origin.0 + instant.saturating_duration_since(self.origin).as_micros() as u64)
     }
 
     /// The time now.
@@ -42,13 +42,13 @@
 
     /// The instant of `time`.
     pub fn instant(&self, time: Time) -> Instant {
-        self.origin + Duration::from_micros(time.0.saturating_sub(self.unix.0).min(1 << 50))
+        self.origin + Duration::from_micros(time.0.saturating_sub(self.unix_origin.0).min(1 << 50))
     }
 
     /// Both clocks at one moment: the balancer's time and the wall clock's reading.
     fn reading(&self) -> Option<(Time, Time)> {
         let (before, wall, after) = (Instant::now(), unix_now(), Instant::now());
-        (after.duration_since(before) < READING_MOST).then(|| (self.at(after), wall))
+        (after.duration_since(before) < MAX_READING_TIME).then(|| (self.at(after), wall))
     }
 }
 
@@ -57,7 +57,7 @@
     Time(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64)
 }
 
-/// A time in which the wall clock was not stepped. A step is noticed after it has happened, so one period may begin
+/// A period in which the wall clock was not stepped. A step is noticed after it has happened, so one period may begin
 /// before the one before it has ended.
 #[derive(Debug, Clone, Copy)]
 struct Period {
@@ -69,7 +69,7 @@
 
 impl Period {
     /// The balancer's time at which the wall clock read this, if it did so in this period.
-    fn place(&self, wall: Time) -> Time {
+    fn time(&self, wall: Time) -> Time {
         Time(wall.0.saturating_add_signed(-self.lead))
     }
 }
@@ -77,21 +77,22 @@
 /// The wall clock since the start of the process.
 pub struct WallClock {
     clock: Clock,
-    /// Never empty; the last one goes on.
+    /// In their order, never empty; the last one has not ended.
     periods: RefCell<Vec<Period>>,
-    checked: Cell<Time>,
+    /// When the wall clock was last checked.
+    checked_at: Cell<Time>,
 }
 
 impl WallClock {
     /// The wall clock by which `clock` has just been started.
     pub fn new(clock: Clock) -> Self {
         let first = Period { from: Time(0), until: Time(u64::MAX), lead: 0 };
-        let checked = Cell::new(clock.at(clock.origin));
-        WallClock { clock, periods: RefCell::new(vec![first]), checked }
+        let checked_at = Cell::new(clock.at(clock.origin));
+        WallClock { clock, periods: RefCell::new(vec![first]), checked_at }
     }
 
-    /// Looks whether the wall clock has been stepped, and says so in the log. To be called often: a step is placed
-    /// between two calls.
+    /// Checks whether the wall clock has been stepped, and logs it. To be called often: all that is known of the time of a
+    /// step is that it was between two calls.
     pub fn check(&self) {
         let Some((now, wall)) = self.clock.reading() else { return };
         if let Some(step) = self.observe(now, wall) {
@@ -108,38 +109,44 @@
         self.time_as_of(self.clock.now(), wall)
     }
 
-    /// Takes in that the wall clock reads `wall` at the time `now`; a step since the last time, in microseconds.
+    /// Records that the wall clock reads `wall` at the time `now`; the step since the last record, in microseconds, if
+    /// there was one.
     pub(super) fn observe(&self, now: Time, wall: Time) -> Option<i64> {
         let mut periods = self.periods.borrow_mut();
-        let checked = self.checked.replace(now);
+        let checked_at = self.checked_at.replace(now);
         let lead = wall.0 as i64 - now.0 as i64;
         let current = periods.last_mut()?;
         let step = lead - current.lead;
-        if step.unsigned_abs() <= STEP_LEAST.as_micros() as u64 {
+        if step.unsigned_abs() <= MIN_STEP.as_micros() as u64 {
             return None;
         }
         current.until = now;
-        if periods.len() == PERIODS_MOST {
+        if periods.len() == MAX_PERIODS {
             periods.remove(1);
         }
-        periods.push(Period { from: checked, until: Time(u64::MAX), lead });
+        periods.push(Period { from: checked_at, until: Time(u64::MAX), lead });
         Some(step)
     }
 
-    /// A reading belongs to the latest period in which the clock has shown it. One that it has never shown, because a
-    /// step jumped over it or because another machine's clock is ahead, is as late as it can be by any period: a
-    /// server that passes for too new is spared, and one that passes for too old is pushed over. Nothing that is known
-    /// by now has happened after now.
+    /// The balancer's time of a reading, as far as is known at `now`. A reading belongs to the latest period in which the
+    /// clock has shown it. One that it has never shown, because a step skipped it or because another machine's clock is
+    /// ahead, is as late as any period allows: a server that is taken for too new gets too few requests, one that is
+    /// taken for too old is overloaded. Nothing that is known by now has happened after now.
     fn time_as_of(&self, now: Time, wall: Time) -> Time {
-        let latest = now + Span(STEP_LEAST.as_micros() as u64);
+        let latest = now + Span(MIN_STEP.as_micros() as u64);
         let periods = self.periods.borrow();
-        let shown = |period: &&Period| {
-            let time = period.place(wall);
+        let has_shown = |period: &&Period| {
+            let time = period.time(wall);
             period.from <= time && time <= period.until.min(latest)
         };
-        match periods.iter().rev().find(shown) {
-            Some(period) => period.place(wall),
-            None => periods.iter().map(|p| p.place(wall)).filter(|time| *time <= latest).max().unwrap_or(now),
+        match periods.iter().rev().find(has_shown) {
+            Some(period) => period.time(wall),
+            None => periods
+                .iter()
+                .map(|period| period.time(wall))
+                .filter(|time| *time <= latest)
+                .max()
+                .unwrap_or(now),
         }
     }
 }
--- a/agent/src/driver/clock/tests.rs
+++ b/agent/src/driver/clock/tests.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_start_before_a_step_that_is_told_after_it_has_its_true_age() {
+fn a_start_before_a_step_that_is_read_after_it_has_its_true_age() {
     for step in [HOUR as i64, -(HOUR as i64)] {
         let mut bench = Bench::new();
         let born = bench.reads(1_800_000);
@@ -98,9 +98,9 @@
     assert_eq!(bench.place(now, bench.time(0)), bench.time(0));
 }
 
-/// The list's clock may be ahead of this machine's. What has been told has happened.
+/// The clock of discovery may be ahead of this machine's. A start that has been read has happened.
 #[test]
-fn no_start_is_later_than_its_news() {
+fn no_start_is_later_than_its_entry_was_read() {
     let bench = Bench::new();
     bench.check(SECOND);
     assert_eq!(bench.place(SECOND, bench.time(HOUR)), bench.time(SECOND));
@@ -113,7 +113,7 @@
         bench.step = -((number * 5 * SECOND) as i64);
         assert!(bench.check(number * SECOND).is_some());
     }
-    assert_eq!(bench.wall.periods.borrow().len(), PERIODS_MOST);
+    assert_eq!(bench.wall.periods.borrow().len(), MAX_PERIODS);
     let long_ago = Time(1_700_000_000_000_000);
     assert_eq!(bench.place(200 * SECOND, long_ago), long_ago);
     assert_eq!(bench.place(200 * SECOND, bench.reads(199 * SECOND)), bench.time(199 * SECOND));
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -1,7 +1,7 @@
 //! The event loop that owns the [`Balancer`]: it hands it what happens on the sockets and carries out what it decides.
 //!
 //! Nothing is decided here. Everything runs on one thread, so an event is handled, and its actions are carried out,
-//! before anything else happens; an action never calls back into the balancer, it queues an event. Each part beside this
+//! before anything else happens; an action never enters the balancer again, it queues an event. Each part beside this
 //! file owns its own state: the queue has the balancer and its timers, `servers` the endpoint list, `requests` the
 //! pending requests. [`Driver`] connects them.
 
--- a/agent/src/driver/requests.rs
+++ b/agent/src/driver/requests.rs
@@ -188,7 +188,7 @@
     fn log_end(&mut self, request: &PendingRequest, end: End, names: &Names, served_by: Option<ServerLabel>) {
         let now = Instant::now();
         let PendingRequest { arrival, metrics, failed_attempts, .. } = request;
-        // One that was served is worth a line too, if only after an attempt that failed.
+        // One that was served is logged only after an attempt that failed.
         if (matches!(end, End::Served) && failed_attempts.is_empty()) || !self.log.room(now) {
             return;
         }
--- a/agent/src/endpoint_list/reader/tests.rs
+++ b/agent/src/endpoint_list/reader/tests.rs
@@ -2,18 +2,18 @@
 use crate::endpoint_list::read_list;
 
 #[test]
-fn an_answer_that_is_torn_or_too_long_is_told_as_such() {
+fn an_answer_that_is_incomplete_or_too_long_is_named_as_such() {
     let entry = r#"{"host":"a","dial":"127.0.0.1:1","health":"up"}"#;
-    let of = |text: &str| read_list(text.as_bytes(), 2).expect_err("no list").to_string();
-    assert!(of("").contains("ends after 0 bytes"), "{}", of(""));
-    assert!(of(&format!(r#"{{"seq":1,"hosts":[{entry},"#)).contains("before its object does"));
-    assert!(of(&format!(r#"{{"seq":1,"hosts":[{entry}}}"#)).contains("a comma or the end of the array"));
-    assert!(of(r#"{"seq":1,"hosts":[]} x"#).contains("the end was expected"));
-    assert!(of(r#"{"seq":1,"hosts":[tru]}"#).contains("from byte 18 on"));
+    let error = |text: &str| read_list(text.as_bytes(), 2).expect_err("no list").to_string();
+    assert!(error("").contains("ends after 0 bytes"), "{}", error(""));
+    assert!(error(&format!(r#"{{"seq":1,"hosts":[{entry},"#)).contains("before its object does"));
+    assert!(error(&format!(r#"{{"seq":1,"hosts":[{entry}}}"#)).contains("a comma or the end of the array"));
+    assert!(error(r#"{"seq":1,"hosts":[]} x"#).contains("the end was expected"));
+    assert!(error(r#"{"seq":1,"hosts":[tru]}"#).contains("from byte 18 on"));
     let three = format!(r#"{{"seq":1,"hosts":[{entry},{entry},{entry}]}}"#);
-    assert_eq!(of(&three), "it has over 2 entries, 2 at most were expected");
+    assert_eq!(error(&three), "it has over 2 entries, 2 at most were expected");
     let long = format!(r#"{{"seq":1,"more":"{}","hosts":[]}}"#, "x".repeat(MAX_VALUE_BYTES));
-    assert!(of(&long).contains("bytes"), "{}", of(&long));
+    assert!(error(&long).contains("bytes"), "{}", error(&long));
 }
 
 /// What is held of an endless answer is bounded, whatever it consists of.
--- a/agent/src/endpoint_list/tests.rs
+++ b/agent/src/endpoint_list/tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_is_no_list_is_told_by_what_it_lacks() {
+fn a_text_that_is_no_list_is_named_by_what_it_lacks() {
     for value in [json!(null), json!([]), json!({"seq": 1}), json!({"seq": "1", "hosts": []})] {
         let why = read(&value).expect_err("no list").to_string();
         assert!(why.contains(" was expected"), "{value}: {why}");
