--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -330,7 +330,7 @@
     fn record_aborted_response(self: &Rc<Self>, server: ServerId) {
         {
             let State { requests, servers, .. } = &mut *self.state.borrow_mut();
-            if requests.log.room(Instant::now()) {
+            if requests.log.has_capacity(Instant::now()) {
                 let (name, zone) = (servers.name(server), servers.zone(server));
                 tracing::warn!(target: "request", server = name, zone, "an answer broke off on its way to the client");
             }
--- a/agent/src/driver/requests.rs
+++ b/agent/src/driver/requests.rs
@@ -189,7 +189,7 @@
         let now = Instant::now();
         let PendingRequest { arrival, metrics, failed_attempts, .. } = request;
         // One that was served is logged only after an attempt that failed.
-        if (matches!(end, End::Served) && failed_attempts.is_empty()) || !self.log.room(now) {
+        if (matches!(end, End::Served) && failed_attempts.is_empty()) || !self.log.has_capacity(now) {
             return;
         }
         let server = served_by.unwrap_or_else(|| match failed_attempts.last() {
@@ -226,7 +226,7 @@
 
     /// Logs a request that was invalid and has been answered so with this status.
     pub fn log_invalid(&mut self, request: &str, status: StatusCode, reason: &str) {
-        if self.log.room(Instant::now()) {
+        if self.log.has_capacity(Instant::now()) {
             let status = status.as_u16();
             tracing::warn!(target: "request", request = format_args!("{request:.64}"), outcome = "turned_away", status, "{reason}");
         }
--- a/agent/src/log.rs
+++ b/agent/src/log.rs
@@ -242,7 +242,7 @@
     }
 
     /// Whether one more line on a request fits into the present second.
-    pub fn room(&mut self, now: Instant) -> bool {
+    pub fn has_capacity(&mut self, now: Instant) -> bool {
         if now.saturating_duration_since(self.second) >= Duration::from_secs(1) {
             (self.second, self.lines) = (now, 0);
         }
--- a/agent/src/log/tests.rs
+++ b/agent/src/log/tests.rs
@@ -50,11 +50,11 @@
     let _counted = COUNTED.lock().unwrap_or_else(PoisonError::into_inner);
     let start = Instant::now();
     let mut log = Log::new(start);
-    let written = (0..50).filter(|_| log.room(start)).count();
+    let written = (0..50).filter(|_| log.has_capacity(start)).count();
     let metrics = Metrics::new(1);
     (0..50).for_each(|_| metrics.take(0).end(End::Refused));
     assert_eq!(written, LINES_MOST as usize);
-    assert!(log.room(start + Duration::from_secs(1)));
+    assert!(log.has_capacity(start + Duration::from_secs(1)));
     metrics.take(0).end(End::Failed);
     metrics.take(0).end(End::Served);
     drop(metrics.take(0));
