--- a/agent/src/driver/arrival.rs
+++ b/agent/src/driver/arrival.rs
@@ -1,6 +1,8 @@
 //! A request as the application sent it, and what of it is sent to a server.
 
-use crate::traffic::body::{Hold, Intake, Outgoing};
+use crate::traffic::attempt_body::AttemptBody;
+use crate::traffic::memory_budget::MemoryReservation;
+use crate::traffic::request_body::RequestBodyStream;
 use balancer::{ClassId, KeyId, Span, TenantId};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -50,15 +52,15 @@
         /// All of it.
         bytes: Bytes,
         /// Releases the memory when it is dropped.
-        _reservation: Hold,
+        _reservation: MemoryReservation,
     },
     /// Forwarded while it arrives.
-    Streamed(Rc<Intake>),
+    Streamed(Rc<RequestBodyStream>),
 }
 
 impl Arrival {
     /// Its body, if that is forwarded while it arrives.
-    pub fn intake(&self) -> Option<&Rc<Intake>> {
+    pub fn intake(&self) -> Option<&Rc<RequestBodyStream>> {
         match &self.body {
             Content::Buffered { .. } => None,
             Content::Streamed(intake) => Some(intake),
@@ -71,10 +73,10 @@
     }
 
     /// The request for a server: unchanged, with the time that the agent will wait.
-    pub fn outgoing(&self, wait: Duration) -> Request<Outgoing> {
+    pub fn outgoing(&self, wait: Duration) -> Request<AttemptBody> {
         let body = match &self.body {
-            Content::Buffered { bytes, .. } => Outgoing::Kept(Full::new(bytes.clone())),
-            Content::Streamed(intake) => Outgoing::of(intake),
+            Content::Buffered { bytes, .. } => AttemptBody::Buffered(Full::new(bytes.clone())),
+            Content::Streamed(intake) => AttemptBody::streamed(intake),
         };
         let length = body.size_hint().exact();
         let mut request = Request::new(body);
--- a/agent/src/driver/attempts.rs
+++ b/agent/src/driver/attempts.rs
@@ -1,9 +1,10 @@
 //! In-flight attempts: which there are, how long each may take, and what of them can still be cancelled.
 
 use super::arrival::Arrival;
-use crate::traffic::body::{Intake, Outgoing};
-use crate::traffic::pace::turns;
-use crate::upstream::client::Progress;
+use crate::traffic::attempt_body::AttemptBody;
+use crate::traffic::connection_timer::yield_turns;
+use crate::traffic::request_body::RequestBodyStream;
+use crate::upstream::attempt::AttemptProgress;
 use balancer::{AttemptNo, RequestId};
 use hyper::Request;
 use std::collections::HashMap;
@@ -25,12 +26,12 @@
 
 /// The in-flight attempts. One may outlive its request.
 #[derive(Default)]
-pub struct InFlightAttempts(HashMap<AttemptId, Rc<Progress>>);
+pub struct InFlightAttempts(HashMap<AttemptId, Rc<AttemptProgress>>);
 
 impl InFlightAttempts {
     /// Adds an attempt; its progress is for the task that makes it.
-    pub fn begin(&mut self, id: AttemptId) -> Rc<Progress> {
-        let progress = Rc::new(Progress::default());
+    pub fn begin(&mut self, id: AttemptId) -> Rc<AttemptProgress> {
+        let progress = Rc::new(AttemptProgress::default());
         self.0.insert(id, progress.clone());
         progress
     }
@@ -43,7 +44,7 @@
     /// Cancels an attempt if it is in flight. What of it has not been written stays unwritten.
     pub fn cancel(&self, id: AttemptId) {
         if let Some(progress) = self.0.get(&id) {
-            progress.call_off();
+            progress.cancel();
         }
     }
 
@@ -51,8 +52,8 @@
     pub fn cancel_unwritten(&self, request: RequestId, attempts: u32) {
         for number in 0..attempts {
             let id = AttemptId { request, number: AttemptNo(number) };
-            if let Some(progress) = self.0.get(&id).filter(|progress| !progress.may_have_run()) {
-                progress.call_off();
+            if let Some(progress) = self.0.get(&id).filter(|progress| !progress.may_have_executed()) {
+                progress.cancel();
             }
         }
     }
@@ -62,7 +63,7 @@
 pub struct AttemptTime {
     sent: Instant,
     timeout_at: Instant,
-    upload: Option<Rc<Intake>>,
+    upload: Option<Rc<RequestBodyStream>>,
     client_wait: Duration,
 }
 
@@ -77,24 +78,24 @@
     pub async fn wait_for_timeout(&self) {
         match &self.upload {
             None => sleep_until(self.timeout_at).await,
-            Some(upload) => upload.over(self.client_wait).await,
+            Some(upload) => upload.wait_for_attempt_timeout(self.client_wait).await,
         }
-        turns(ANSWER_TURNS).await;
+        yield_turns(ANSWER_TURNS).await;
     }
 
     /// What the server is sent, with the time that the attempt has left at `now`: its connection may have taken a good
     /// part of the wait to be established.
-    pub fn outgoing(&self, arrival: &Arrival, now: Instant) -> Request<Outgoing> {
+    pub fn outgoing(&self, arrival: &Arrival, now: Instant) -> Request<AttemptBody> {
         let time_left = match &self.upload {
             None => self.timeout_at.saturating_duration_since(now),
-            Some(upload) => self.client_wait.saturating_sub(upload.unread()),
+            Some(upload) => self.client_wait.saturating_sub(upload.unread_time()),
         };
         arrival.outgoing(time_left)
     }
 
     /// From when the attempt's duration counts: when it was sent, or a streamed body's last byte if that came later.
     pub fn measured_from(&self) -> Instant {
-        let complete_at = self.upload.as_ref().and_then(|upload| upload.whole_at());
+        let complete_at = self.upload.as_ref().and_then(|upload| upload.completed_at());
         complete_at.map_or(self.sent, |complete_at| complete_at.max(self.sent))
     }
 }
--- a/agent/src/driver/endpoint_updates.rs
+++ b/agent/src/driver/endpoint_updates.rs
@@ -2,17 +2,17 @@
 
 use super::servers::Servers;
 use crate::metrics::Metrics;
-use crate::upstream::client::Upstream;
-use crate::upstream::discovery::{News as WatchEvent, STEP};
+use crate::upstream::client::UpstreamClient;
+use crate::upstream::discovery::{DiscoveryEvent, MAX_ENTRIES_PER_STEP};
 use balancer::EndpointUpdate;
 use balancer_settings::Names;
 
-/// What follows from one watch event.
+/// What follows from one discovery event.
 #[derive(Default)]
 pub struct AppliedEvent {
     /// What the balancer is to be notified of; none if it knows as much already.
     pub update: Option<EndpointUpdate>,
-    /// Another step is due: the event is applied by [`WatchEvent::GoOn`], once requests have had their turn.
+    /// Another step is due: the event is applied by [`DiscoveryEvent::Continue`], once requests have had their turn.
     pub has_more: bool,
 }
 
@@ -22,37 +22,38 @@
     }
 }
 
-/// Applies a watch event to the known servers and the connections to them.
-pub fn apply_watch_event(
-    event: WatchEvent,
+/// Applies a discovery event to the known servers and the connections to them.
+pub fn apply_discovery_event(
+    event: DiscoveryEvent,
     servers: &mut Servers,
     names: &Names,
-    upstream: &Upstream,
+    upstream: &UpstreamClient,
 ) -> AppliedEvent {
-    let describe = |server, host: &_| upstream.describe(server, host);
+    let describe = |server, host: &_| upstream.update_endpoint(server, host);
     match event {
-        WatchEvent::Called => {
+        DiscoveryEvent::CallStarted => {
             servers.begin_answer();
             AppliedEvent::default()
         }
-        WatchEvent::Entries(entries) => {
+        DiscoveryEvent::Entries(entries) => {
             let endpoints = servers.apply_entries(entries, names, describe);
             let update = (!endpoints.is_empty()).then_some(EndpointUpdate::Partial(endpoints));
             AppliedEvent { update, has_more: false }
         }
-        WatchEvent::Whole(envelope) => {
+        DiscoveryEvent::Complete(envelope) => {
             servers.end_answer(envelope);
             apply_step(servers, names, upstream)
         }
-        WatchEvent::GoOn => apply_step(servers, names, upstream),
-        WatchEvent::Failed => AppliedEvent::complete(EndpointUpdate::Failed),
-        WatchEvent::Senseless => AppliedEvent::complete(EndpointUpdate::Unusable),
+        DiscoveryEvent::Continue => apply_step(servers, names, upstream),
+        DiscoveryEvent::Failed => AppliedEvent::complete(EndpointUpdate::Failed),
+        DiscoveryEvent::Unusable => AppliedEvent::complete(EndpointUpdate::Unusable),
     }
 }
 
-/// Applies the next [`STEP`] servers of a complete answer.
-fn apply_step(servers: &mut Servers, names: &Names, upstream: &Upstream) -> AppliedEvent {
-    let step = servers.apply_step(STEP, names, |server, host| upstream.describe(server, host));
+/// Applies the next [`MAX_ENTRIES_PER_STEP`] servers of a complete answer.
+fn apply_step(servers: &mut Servers, names: &Names, upstream: &UpstreamClient) -> AppliedEvent {
+    let step = servers
+        .apply_step(MAX_ENTRIES_PER_STEP, names, |server, host| upstream.update_endpoint(server, host));
     if step.is_last {
         AppliedEvent::complete(EndpointUpdate::Changes(step.endpoints))
     } else {
@@ -62,9 +63,9 @@
 
 /// Forgets the servers that were removed from the endpoint list long ago, and the connections to them. The attempts at
 /// them still count for their zones.
-pub fn forget_removed_servers(servers: &mut Servers, upstream: &Upstream, metrics: &Metrics) {
+pub fn forget_removed_servers(servers: &mut Servers, upstream: &UpstreamClient, metrics: &Metrics) {
     while let Some(forgotten) = servers.forget_oldest_removed() {
-        upstream.forget(forgotten.server);
+        upstream.remove_endpoint(forgotten.server);
         if let Some(attempts) = metrics.forget(forgotten.server) {
             servers.add_removed_attempts(&forgotten.zone, &attempts);
         }
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -19,9 +19,11 @@
 use crate::config::Config;
 use crate::log::{Log, Tried};
 use crate::metrics::{Counts, Metrics};
-use crate::traffic::body::{Budget, Step};
-use crate::upstream::client::{Ended, Upstream};
-use crate::upstream::discovery::{Discovery, Listener, News as WatchEvent};
+use crate::traffic::memory_budget::MemoryBudget;
+use crate::traffic::request_body::BodyEvent;
+use crate::upstream::client::UpstreamClient;
+use crate::upstream::discovery::{DiscoveryClient, DiscoveryEvent, Listener};
+use crate::upstream::exchange::ExchangeResult;
 use arrival::Arrival;
 pub use attempts::ANSWER_TURNS;
 use attempts::{AttemptId, AttemptTime};
@@ -31,7 +33,7 @@
 };
 use balancer_settings::Names;
 use clock::{Clock, WallClock};
-use endpoint_updates::{apply_watch_event, forget_removed_servers};
+use endpoint_updates::{apply_discovery_event, forget_removed_servers};
 use hyper::StatusCode;
 use known_server::number_of;
 use queue::Queue;
@@ -63,8 +65,8 @@
     pub accepts: Cell<bool>,
     metrics: Rc<Metrics>,
     /// The memory that bodies may take.
-    pub budget: Rc<Budget>,
-    upstream: Rc<Upstream>,
+    pub budget: Rc<MemoryBudget>,
+    upstream: Rc<UpstreamClient>,
     state: RefCell<State>,
     wake: Notify,
 }
@@ -81,9 +83,9 @@
         let wall_clock = Rc::new(WallClock::new(clock));
         let idempotency = config.settings.classes.iter().map(|class| class.idempotency).collect();
         let metrics = Metrics::new(config.names.classes.len());
-        let budget = Rc::new(Budget::of(config.memory_mb, config.shared));
+        let budget = Rc::new(MemoryBudget::for_process(config.memory_mb, config.shared));
         let connect_timeout = Duration::from_micros(config.names.connect_timeout.0);
-        let upstream = Rc::new(Upstream::new(
+        let upstream = Rc::new(UpstreamClient::new(
             connections,
             metrics.clone(),
             budget.clone(),
@@ -98,7 +100,7 @@
         // Where changes are pushed the balancer never polls for them; on sockets a watch is what brings them.
         actions.extend(is_pushed.then_some(Action::Watch { active: true }));
         let mut servers = Servers::new(config.servers_most, wall_clock.clone());
-        let describe = |server, host: &_| upstream.describe(server, host);
+        let describe = |server, host: &_| upstream.update_endpoint(server, host);
         let endpoints = servers.apply_list(config.known, &config.names, describe);
         let mut queue = Queue::new(balancer, clock);
         queue.push(Event::Endpoints(EndpointUpdate::Saved(endpoints)));
@@ -106,7 +108,7 @@
             queue,
             requests: PendingRequests::new(Log::new(clock.origin)),
             servers,
-            discovery: Discovery::new(config.discovery, connect_timeout, config.servers_most),
+            discovery: DiscoveryClient::new(config.discovery, connect_timeout, config.servers_most),
         };
         let driver = Rc::new(Driver {
             clock,
@@ -140,7 +142,7 @@
             self.state.borrow_mut().queue.fire_due_timers();
             self.dispatch_events();
             if Instant::now() >= maintenance_at {
-                self.upstream.sweep();
+                self.upstream.evict_idle();
                 self.wall_clock.check();
                 self.log_metrics();
                 maintenance_at = Instant::now() + MAINTENANCE_INTERVAL;
@@ -152,7 +154,7 @@
     fn log_metrics(&self) {
         let mut state = self.state.borrow_mut();
         if let Some(counts) = state.requests.log.counts(Instant::now(), &self.metrics) {
-            counts.write(self.upstream.held(), &state.queue.balancer.summary());
+            counts.write(self.upstream.open_connections(), &state.queue.balancer.summary());
         }
     }
 
@@ -193,7 +195,7 @@
             Action::HealthCheck { server } => self.check_health(server),
             Action::CloseIdleConnections { server } => self.upstream.close_idle(server),
             Action::Watch { active } => {
-                state.discovery.follow(&self.discovery_listener(), active, state.servers.version);
+                state.discovery.set_watch(&self.discovery_listener(), active, state.servers.version);
             }
             Action::FetchEndpoints => state.discovery.fetch(&self.discovery_listener()),
             // Agents of this deployment have no way to talk to each other, and the settings say so.
@@ -222,7 +224,7 @@
             None => self.metrics.take(arrival.class.0),
             Some(intake) => {
                 let driver = self.clone();
-                intake.tells(move |step| driver.record_body_progress(id, step));
+                intake.set_listener(move |body_event| driver.record_body_progress(id, body_event));
                 self.metrics.upload(arrival.class.0)
             }
         };
@@ -233,8 +235,8 @@
     }
 
     /// The streamed body of a request has progressed.
-    fn record_body_progress(self: &Rc<Self>, id: RequestId, step: Step) {
-        let event = self.state.borrow_mut().requests.record_body_progress(id, step);
+    fn record_body_progress(self: &Rc<Self>, id: RequestId, body_event: BodyEvent) {
+        let event = self.state.borrow_mut().requests.record_body_progress(id, body_event);
         if let Some(event) = event {
             self.handle(event);
         }
@@ -272,7 +274,8 @@
                 driver.may_begin(id, now).then(|| time.outgoing(&arrival, now))
             };
             let timeout = time.wait_for_timeout();
-            let ended = driver.upstream.attempt(server, begin, arrival.intake(), timeout, &progress).await;
+            let ended =
+                driver.upstream.send_attempt(server, begin, arrival.intake(), timeout, &progress).await;
             driver.finish_attempt(id, server, ended, time.measured_from().elapsed());
         });
     }
@@ -284,7 +287,13 @@
     }
 
     /// Reports how an attempt has ended. The first one that is served answers its request.
-    fn finish_attempt(self: &Rc<Self>, id: AttemptId, server: ServerId, ended: Ended, elapsed: Duration) {
+    fn finish_attempt(
+        self: &Rc<Self>,
+        id: AttemptId,
+        server: ServerId,
+        ended: ExchangeResult,
+        elapsed: Duration,
+    ) {
         let elapsed = Span(elapsed.as_micros() as u64);
         let is_body_broken = self.state.borrow().requests.is_body_broken(id.request);
         if is_body_broken {
@@ -296,7 +305,7 @@
             let State { requests, servers, .. } = &mut *self.state.borrow_mut();
             requests.attempts.end(id);
             let label = ServerLabel { name: servers.name(server), zone: servers.zone(server) };
-            if let Some(served) = ended.answer {
+            if let Some(served) = ended.response {
                 let driver = self.clone();
                 let on_abort = move || driver.record_aborted_response(server);
                 requests.serve(id.request, served, on_abort, &self.names, label);
@@ -308,8 +317,8 @@
                     zone: label.zone.to_owned(),
                     outcome: ended.outcome,
                     status: ended.status,
-                    idled: ended.idled,
-                    why: ended.why,
+                    idled: ended.connection_idle,
+                    why: ended.error.map(|error| error.to_string()),
                     took: elapsed,
                 };
                 requests.record_failed_attempt(id.request, attempt);
@@ -321,7 +330,7 @@
             attempt: id.number,
             outcome: ended.outcome,
             elapsed,
-            report: ended.report,
+            report: ended.load_report,
             closed: is_closed,
         });
     }
@@ -342,7 +351,8 @@
         let driver = self.clone();
         tokio::task::spawn_local(async move {
             let sent = Instant::now();
-            let Ended { outcome, report, .. } = driver.upstream.probe(server).await;
+            let ExchangeResult { outcome, load_report: report, .. } =
+                driver.upstream.check_health(server).await;
             let elapsed = Span(sent.elapsed().as_micros() as u64);
             driver.handle(Event::HealthChecked { server, outcome, elapsed, report });
         });
@@ -352,14 +362,14 @@
 
     fn discovery_listener(self: &Rc<Self>) -> Listener {
         let driver = self.clone();
-        Rc::new(move |event| driver.handle_watch_event(event))
+        Rc::new(move |event| driver.handle_discovery_event(event))
     }
 
     /// Applies a watch event; whether another step of it is due once requests have had their turn.
-    fn handle_watch_event(self: &Rc<Self>, event: WatchEvent) -> bool {
+    fn handle_discovery_event(self: &Rc<Self>, event: DiscoveryEvent) -> bool {
         self.wall_clock.check();
         let applied =
-            apply_watch_event(event, &mut self.state.borrow_mut().servers, &self.names, &self.upstream);
+            apply_discovery_event(event, &mut self.state.borrow_mut().servers, &self.names, &self.upstream);
         let Some(update) = applied.update else { return applied.has_more };
         self.handle(Event::Endpoints(update));
         forget_removed_servers(&mut self.state.borrow_mut().servers, &self.upstream, &self.metrics);
@@ -371,7 +381,7 @@
         let mut state = self.state.borrow_mut();
         // Nothing says that both count versions alike.
         state.servers.version = None;
-        state.discovery.moved(&self.discovery_listener(), address);
+        state.discovery.change_address(&self.discovery_listener(), address);
     }
 
     // Operator commands, and what another process knows.
--- a/agent/src/driver/requests.rs
+++ b/agent/src/driver/requests.rs
@@ -5,8 +5,9 @@
 use super::attempts::{AttemptId, InFlightAttempts};
 use crate::log::{self, Log, Tried};
 use crate::metrics::{End, Taken};
-use crate::traffic::body::Step;
-use crate::upstream::client::{Progress, Served};
+use crate::traffic::request_body::BodyEvent;
+use crate::upstream::attempt::AttemptProgress;
+use crate::upstream::exchange::ServedResponse;
 use balancer::{AttemptNo, Event, RequestId, Span};
 use balancer_settings::Names;
 use hyper::StatusCode;
@@ -19,7 +20,7 @@
 /// The one final answer to a request.
 pub enum Answer {
     /// A server's answer, complete or begun.
-    Served(Box<Served>),
+    Served(Box<ServedResponse>),
     /// Rejected by the balancer; a retry is harmless, and makes sense after this long.
     Rejected(Option<Span>),
     /// Failed; it may have been executed.
@@ -61,7 +62,7 @@
     /// What the application sent.
     pub arrival: Rc<Arrival>,
     /// For the task that makes it.
-    pub progress: Rc<Progress>,
+    pub progress: Rc<AttemptProgress>,
 }
 
 /// All pending requests, and the attempts that are in flight.
@@ -100,7 +101,7 @@
     /// Whether a pending request's streamed body has broken off.
     pub fn is_body_broken(&self, id: RequestId) -> bool {
         let intake = self.pending.get(&id).and_then(|request| request.arrival.intake());
-        intake.is_some_and(|intake| intake.is_broken())
+        intake.is_some_and(|intake| intake.has_failed())
     }
 
     /// Adds an attempt at a request, if that is pending.
@@ -120,13 +121,13 @@
     }
 
     /// Records the progress of a pending request's streamed body; what the balancer is to be notified of.
-    pub fn record_body_progress(&mut self, id: RequestId, step: Step) -> Option<Event> {
+    pub fn record_body_progress(&mut self, id: RequestId, body_event: BodyEvent) -> Option<Event> {
         let pending = self.pending.get_mut(&id)?;
-        Some(match step {
-            Step::Spent => Event::BodyConsumed { request: id },
-            Step::Whole => {
+        Some(match body_event {
+            BodyEvent::Consumed => Event::BodyConsumed { request: id },
+            BodyEvent::Complete => {
                 pending.metrics.whole();
-                let complete_at = pending.arrival.intake().and_then(|intake| intake.whole_at());
+                let complete_at = pending.arrival.intake().and_then(|intake| intake.completed_at());
                 let elapsed = complete_at.map_or(Duration::ZERO, |complete_at| complete_at.elapsed());
                 let time_left = pending.arrival.wait().saturating_sub(elapsed);
                 Event::BodyComplete { request: id, time_left: Span(time_left.as_micros() as u64) }
@@ -165,14 +166,14 @@
     pub fn serve(
         &mut self,
         id: RequestId,
-        mut served: Served,
+        mut served: ServedResponse,
         on_abort: impl FnOnce() + 'static,
         names: &Names,
         server: ServerLabel,
     ) {
         let Some(request) = self.remove(id) else { return };
         self.log_end(&request, End::Served, names, Some(server));
-        served.body.ends(request.metrics, on_abort);
+        served.body.end_request_with(request.metrics, on_abort);
         let _ = request.answer.send(Answer::Served(Box::new(served)));
     }
 
--- a/agent/src/driver/state.rs
+++ b/agent/src/driver/state.rs
@@ -3,7 +3,7 @@
 use super::queue::Queue;
 use super::requests::PendingRequests;
 use super::servers::Servers;
-use crate::upstream::discovery::Discovery;
+use crate::upstream::discovery::DiscoveryClient;
 
 /// The event loop's state.
 pub struct State {
@@ -14,5 +14,5 @@
     /// The endpoint list.
     pub servers: Servers,
     /// The calls to discovery.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryClient,
 }
--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,7 +5,7 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 41] = [
+const LAYERS: [&str; 57] = [
     "endpoint_list/entry",
     "endpoint_list/reader",
     "endpoint_list",
@@ -17,10 +17,26 @@
     "traffic/errors",
     "traffic/socket",
     "traffic/lingering",
-    "traffic/pace",
-    "traffic/body",
+    "traffic/body_deadline",
+    "traffic/connection_timer",
+    "traffic/memory_budget",
+    "traffic/request_body/reader",
+    "traffic/request_body",
+    "traffic/attempt_body",
+    "traffic/response_body",
     "upstream/connect",
+    "upstream/errors",
+    "upstream/headers",
+    "upstream/load_report",
+    "upstream/write_counter",
+    "upstream/connection",
+    "upstream/pool",
+    "upstream/exchange",
+    "upstream/attempt",
+    "upstream/health_check",
     "upstream/client",
+    "upstream/discovery/errors",
+    "upstream/discovery/call",
     "upstream/discovery",
     "peers/file",
     "peers/writer",
