--- a/agent/src/admin/mod.rs
+++ b/agent/src/admin/mod.rs
@@ -1,5 +1,8 @@
-//! The staff's side: the second address, and what its calls mean.
+//! The admin API of the agent: its address, its calls, and what outlives the process of the operators' commands.
 
-pub mod commands;
+pub mod call;
+pub mod callers;
+pub mod command_writer;
 pub mod listener;
-pub mod saver;
+pub mod service;
+pub mod snapshots;
--- a/agent/src/admin_api.rs
+++ b/agent/src/admin_api.rs
@@ -25,7 +25,7 @@
 /// The answer to `renderers`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Renderers {
-    /// Those on the list, by name; at most [`RENDERERS_MOST`].
+    /// Those on the list, by name; at most [`MAX_RENDERERS`].
     pub renderers: Vec<Renderer>,
     /// Those past that bound.
     pub left_out: u64,
@@ -35,9 +35,9 @@
 }
 
 /// At most so many renderers are told of in one answer.
-pub const RENDERERS_MOST: usize = 2000;
+pub const MAX_RENDERERS: usize = 2000;
 /// At most so many zones.
-pub const ZONES_MOST: usize = 256;
+pub const MAX_ZONES: usize = 256;
 
 /// One renderer as an agent sees it. Counts are of attempts since the process began, and of its own alone.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -71,7 +71,7 @@
 /// The answer to `zones`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Zones {
-    /// All zones that the list names, by name; at most [`ZONES_MOST`].
+    /// All zones that the list names, by name; at most [`MAX_ZONES`].
     pub zones: Vec<Zone>,
     /// Those past that bound.
     pub left_out: u64,
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -186,7 +186,7 @@
 
     /// What has been learned. Servers' start times are as the list has them: another process, whose clock may have been
     /// set otherwise when it heard of a start, can tell by those whether it knows the same server process.
-    pub fn lessons(&self) -> Snapshot {
+    pub fn snapshot(&self) -> Snapshot {
         let state = self.state.borrow();
         let mut lessons = state.queue.balancer.snapshot(self.clock.now());
         for lesson in &mut lessons.servers {
--- /dev/null
+++ b/agent/src/peers/command/tests.rs
@@ -0,0 +1,9 @@
+use super::*;
+
+#[test]
+fn a_target_is_the_same_after_it_was_stored() {
+    for (key, target) in [("s-1", Target::Server("s-1".into())), ("zone b", Target::Zone("b".into()))] {
+        assert_eq!(target.stored_key(), key);
+        assert_eq!(Target::from_stored_key(key), target);
+    }
+}
--- a/agent/src/peers/file/tests.rs
+++ b/agent/src/peers/file/tests.rs
@@ -1,9 +1,8 @@
-//! The files' tests, and what the tests of all that is written to them share.
+//! The files' tests, and what the tests of their contents share.
 
 mod earlier_version;
 
 use super::*;
-use std::path::PathBuf;
 
 /// A folder of its own for a test, gone at its end.
 pub struct Folder(pub PathBuf);
@@ -19,9 +18,9 @@
 
 /// The owner of the tests' files.
 pub fn owner() -> Owner {
-    let words = |text: &str| text.split(' ').map(str::to_owned).collect();
+    let names = |text: &str| text.split(' ').map(str::to_owned).collect();
     let (agent, listen) = ("n0".into(), "127.0.0.1:1".into());
-    Owner { agent, listen, zones: words("a b"), classes: words("read pay") }
+    Owner { agent, listen, zones: names("a b"), classes: names("read pay") }
 }
 
 impl Drop for Folder {
@@ -38,12 +37,12 @@
         child.wait().map(|_| id)
     });
     let ended = ended.expect("a process that has ended");
-    let own = |what: &str, process: u32| format!("{}-{what}.{process}.new", owner().stem());
+    let own = |what: &str, process: u32| format!("{}-{what}.{process}.new", owner().file_name_stem());
     let gone = [own("cordons", ended), own("learned", ended), own("cordons", std::process::id())];
     let stay = [
         own("cordons", 1),
-        format!("{}-cordons.json", owner().stem()),
-        format!("{}-cordons.x.new", owner().stem()),
+        format!("{}-cordons.json", owner().file_name_stem()),
+        format!("{}-cordons.x.new", owner().file_name_stem()),
         format!("balancer-agent-other-cordons.{ended}.new"),
         format!("note.{ended}.new"),
     ];
--- a/agent/src/peers/file/tests/earlier_version.rs
+++ b/agent/src/peers/file/tests/earlier_version.rs
@@ -1,9 +1,10 @@
 //! The version before this one and this one run side by side in an upgrade, and back: each reads what the other writes.
 
 use super::{owner, Folder};
-use crate::peers::cordons::{Cordons, Draft, Word};
-use crate::peers::file::Now;
-use crate::peers::learned::{self, Inheritance};
+use crate::peers::clock_reading::ClockReading;
+use crate::peers::command::{Command, Target};
+use crate::peers::cordons::{Cordons, Draft};
+use crate::peers::snapshot::{self, SnapshotReader};
 use balancer::{ServerId, ServerSnapshot, Snapshot, Time};
 use std::time::Instant;
 
@@ -70,9 +71,9 @@
 const LEARNED_FILE: &str = "bellcroft-n0-513090c2ad334f9e-learned.json";
 const LEARNED_AT: u64 = 1_796_207_553_446_406;
 
-fn lessons() -> Snapshot {
-    let lesson = |server, started, suspect| ServerSnapshot {
-        server: ServerId(server),
+fn snapshot_before() -> Snapshot {
+    let server = |id, started, suspect| ServerSnapshot {
+        server: ServerId(id),
         started,
         limit: 4.5,
         cut: true,
@@ -82,13 +83,13 @@
         cold_sent: 0.5,
         suspect,
     };
-    let servers = vec![lesson(7, Some(Time(1_700_000_000_123_000)), true), lesson(8, None, false)];
+    let servers = vec![server(7, Some(Time(1_700_000_000_123_000)), true), server(8, None, false)];
     Snapshot { level: 0.5, median: 0.2, class_pace: vec![0.1, 0.25], warm_sent: 2.0, servers }
 }
 
 /// A moment soon after the literal files were written.
-fn moment() -> Now {
-    Now { monotonic: Instant::now(), wall: LEARNED_AT + 1_000_000 }
+fn moment() -> ClockReading {
+    ClockReading { monotonic: Instant::now(), wall_us: LEARNED_AT + 1_000_000 }
 }
 
 #[test]
@@ -97,12 +98,13 @@
     std::fs::write(folder.0.join(WORDS_FILE), WORDS).expect("written");
     std::fs::write(folder.0.join(LEARNED_FILE), LEARNED).expect("written");
     let mut cordons = Cordons::new(Some(folder.0.clone()), owner());
-    let out = ("s-1".to_owned(), Word { out: true, at: 1_796_207_553_416_217 });
-    let back = ("zone b".to_owned(), Word { out: false, at: 1_796_207_553_416_658 });
-    assert_eq!(cordons.look(moment()), [out, back]);
+    let cordoned = Command { is_withdrawn: true, given_at_us: 1_796_207_553_416_217 };
+    let returned = Command { is_withdrawn: false, given_at_us: 1_796_207_553_416_658 };
+    let expected = [(Target::Server("s-1".into()), cordoned), (Target::Zone("b".into()), returned)];
+    assert_eq!(cordons.poll(moment()), expected);
     let id = |name: &str| name.strip_prefix("s-").and_then(|id| id.parse().ok()).map(ServerId);
-    let mut inheritance = Inheritance::new(&folder.0, owner(), moment());
-    assert_eq!(inheritance.look(moment(), id), Some(lessons()));
+    let mut reader = SnapshotReader::new(&folder.0, owner(), moment());
+    assert_eq!(reader.poll(moment(), id), Some(snapshot_before()));
 }
 
 #[test]
@@ -110,19 +112,19 @@
     let folder = Folder::new("for-before");
     std::fs::write(folder.0.join(WORDS_FILE), WORDS).expect("written");
     let mut cordons = Cordons::new(Some(folder.0.clone()), owner());
-    cordons.look(moment());
-    cordons.say("s-2", true, moment());
+    cordons.poll(moment());
+    cordons.record(Target::Server("s-2".into()), true, moment());
     let Draft { file, text, .. } = cordons.draft(moment()).expect("something to write");
     assert_eq!(file, folder.0.join(WORDS_FILE));
     let written: before::Words = serde_json::from_slice(&text).expect("the form of the version before");
     let mut expected: before::Words = serde_json::from_str(WORDS).expect("its own form");
-    expected.words.insert("s-2".into(), before::Word { out: true, at: moment().wall });
+    expected.words.insert("s-2".into(), before::Word { out: true, at: moment().wall_us });
     assert_eq!(written, expected);
 
-    let at = Now { wall: LEARNED_AT, ..moment() };
+    let at = ClockReading { wall_us: LEARNED_AT, ..moment() };
     let name = |id: ServerId| Some(format!("s-{}", id.0));
-    let (file, text) = learned::draft(&folder.0, &owner(), lessons(), at, name);
-    assert_eq!(file, folder.0.join(LEARNED_FILE));
+    let text = snapshot::encode(&snapshot_before(), &owner(), at, name);
+    assert_eq!(snapshot::path(&folder.0, &owner()), folder.0.join(LEARNED_FILE));
     let written: before::Learned = serde_json::from_slice(&text).expect("the form of the version before");
     let expected: before::Learned = serde_json::from_str(LEARNED).expect("its own form");
     assert_eq!(written, expected);
--- a/agent/src/peers/writer/tests.rs
+++ b/agent/src/peers/writer/tests.rs
@@ -5,15 +5,15 @@
 fn a_replacement_that_fails_at_any_step_leaves_the_old_text_and_nothing_else() {
     let folder = Folder::new("replace");
     let file = folder.0.join("a.json");
-    for outlives in [Outlives::Process, Outlives::Power] {
-        replace(&file, b"old", outlives).expect("replaced");
-        replace(&file, b"new", outlives).expect("replaced");
+    for durability in [Durability::ProcessExit, Durability::PowerLoss] {
+        replace(&file, b"old", durability).expect("replaced");
+        replace(&file, b"new", durability).expect("replaced");
         assert_eq!(fs::read(&file).expect("text"), b"new");
-        assert!(replace(&folder.0.join("nowhere/a.json"), b"x", outlives).is_err());
+        assert!(replace(&folder.0.join("nowhere/a.json"), b"x", durability).is_err());
         // Where the name is a folder's, all goes well up to the last step.
         let taken = folder.0.join("taken.json");
         fs::create_dir_all(taken.join("full")).expect("a folder");
-        assert!(replace(&taken, b"x", outlives).is_err());
+        assert!(replace(&taken, b"x", durability).is_err());
         let mut names: Vec<_> =
             fs::read_dir(&folder.0).expect("a folder").flatten().map(|e| e.file_name()).collect();
         names.sort();
@@ -27,8 +27,8 @@
     let file = folder.0.join("a.json");
     let writer = Writer::start().expect("a thread");
     for number in 0..20 {
-        writer.replace(file.clone(), vec![number], Outlives::Power).await.expect("replaced");
+        writer.replace(file.clone(), vec![number], Durability::PowerLoss).await.expect("replaced");
         assert_eq!(fs::read(&file).expect("text"), [number]);
     }
-    assert!(writer.replace(folder.0.join("nowhere/a"), Vec::new(), Outlives::Process).await.is_err());
+    assert!(writer.replace(folder.0.join("nowhere/a"), Vec::new(), Durability::ProcessExit).await.is_err());
 }
--- a/agent/src/process.rs
+++ b/agent/src/process.rs
@@ -1,15 +1,16 @@
 //! One process of the agent, from its start to its last answer.
 
-use crate::admin::commands::Admin;
+use crate::admin::callers;
 use crate::admin::listener as admin_listener;
+use crate::admin::service::Admin;
 use crate::config::fleet::Fleet;
 use crate::config::Config;
 use crate::downstream::server::{self, Server};
 use crate::driver::Driver;
 use crate::log;
 use crate::peers::cordons;
-use crate::peers::learned;
 use crate::peers::listener;
+use crate::peers::snapshot;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
@@ -51,7 +52,7 @@
     /// Reads all of it; the error is one line for a person.
     pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
         // Before anything is opened that could take the descriptor's number.
-        let held = listener::inherited(&var)?;
+        let held = listener::inherited_listener(&var).map_err(|error| error.to_string())?;
         let config = Config::load(&var)?;
         let fleet = fleet_file(&var).map(|file| Fleet::read(&file, &config.names)).transpose()?;
         let log = log::Form::read(&var)?;
@@ -92,7 +93,7 @@
     let longest = deadlines().max().unwrap_or_default();
     let name = config.name.clone();
     let operator = config.operator;
-    let apart = SPARE_SOCKETS + operator.map_or(0, |_| admin_listener::SOCKETS);
+    let apart = SPARE_SOCKETS + operator.map_or(0, |_| callers::DESCRIPTORS);
     let sockets = config.sockets.saturating_sub(apart);
     let backends = sockets / BACKENDS_SHARE;
     let folder = std::env::var_os("TMPDIR").filter(|_| operator.is_some()).map(PathBuf::from);
@@ -116,17 +117,17 @@
     });
     if let Some(operator) = operator {
         tokio::task::spawn_local(admin_listener::listen(admin.clone(), operator));
-        admin.learn();
+        admin.poll_snapshot();
         let driver = driver.clone();
         tokio::task::spawn_local(async move {
             let mut kept = Instant::now();
             loop {
-                sleep(cordons::LOOK).await;
-                admin.look();
-                admin.learn();
+                sleep(cordons::POLL_INTERVAL).await;
+                admin.poll_commands();
+                admin.poll_snapshot();
                 // A process that has handed over leaves the file to the new one.
-                if driver.accepts.get() && kept.elapsed() >= learned::LEARN {
-                    admin.keep_learned();
+                if driver.accepts.get() && kept.elapsed() >= snapshot::STORE_INTERVAL {
+                    admin.store_snapshot();
                     kept = Instant::now();
                 }
             }
--- a/agent/tests/clock_steps.rs
+++ b/agent/tests/clock_steps.rs
@@ -115,6 +115,6 @@
     .await;
     for schedule in ["clock +3600s", "clock -3600s"] {
         let mut new = folder.process(&config, schedule).await;
-        new.says("begins with what was learned of 1 servers").await;
+        new.says("starts with the snapshot of 1 endpoints").await;
     }
 }
--- a/agent/tests/durability.rs
+++ b/agent/tests/durability.rs
@@ -87,7 +87,7 @@
     assert!(answer.starts_with("error it holds in this process alone"), "{answer}");
     assert!(answer.contains("written again until it is on disk"), "{answer}");
     assert_eq!(unhealthy(&agent).await, json!(1), "it holds here at once");
-    let line = agent.says("1 words of the operators are not on disk").await;
+    let line = agent.says("1 operator commands are not on disk").await;
     assert!(line.contains("until they are"), "{line}");
     agent.says("on disk, after 6 failed writes").await;
     assert_eq!(agent.figures("renderers").await["unsaved"], 0);
--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,7 +5,7 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 33] = [
+const LAYERS: [&str; 39] = [
     "endpoint_list",
     "admin_api",
     "metrics",
@@ -20,10 +20,13 @@
     "upstream/connect",
     "upstream/client",
     "upstream/discovery",
+    "peers/owner",
     "peers/file",
+    "peers/clock_reading",
+    "peers/command",
     "peers/writer",
     "peers/cordons",
-    "peers/learned",
+    "peers/snapshot",
     "peers/listener",
     "driver/clock",
     "driver/queue",
@@ -31,8 +34,11 @@
     "driver/requests",
     "driver",
     "downstream/server",
-    "admin/saver",
-    "admin/commands",
+    "admin/command_writer",
+    "admin/snapshots",
+    "admin/service",
+    "admin/call",
+    "admin/callers",
     "admin/listener",
     "process",
     "check",
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -3,8 +3,8 @@
 //! the testbed, so that what it uses is told apart from what the testbed's stand-ins use.
 
 use crate::stage::processes::{bind_to_this, memory_mb, scheduled};
-use balancer_agent::admin::commands::Admin;
 use balancer_agent::admin::listener;
+use balancer_agent::admin::service::Admin;
 use balancer_agent::{Config, Driver};
 use serde_json::json;
 use std::io::{BufRead, Write};
