--- a/agent/src/check.rs
+++ b/agent/src/check.rs
@@ -18,13 +18,13 @@
         }
     };
     let _ = writeln!(text, "  discovery at {}", config.discovery);
-    let _ = match config.operator {
+    let _ = match config.admin_address {
         None => writeln!(text, "  no second address: staff cannot call it"),
         Some(operator) => writeln!(text, "  staff call it at {operator}"),
     };
-    let _ = writeln!(text, "  {} descriptors, {} MB of memory", config.sockets, config.memory_mb);
-    let hosts = config.known.hosts.len();
-    let _ = writeln!(text, "  begins with a list of {hosts} renderers, version {}", config.known.seq);
+    let _ = writeln!(text, "  {} descriptors, {} MB of memory", config.max_descriptors, config.memory_mb);
+    let hosts = config.endpoint_list.hosts.len();
+    let _ = writeln!(text, "  begins with a list of {hosts} renderers, version {}", config.endpoint_list.seq);
     for (name, class) in config.names.classes.iter().zip(&config.settings.classes) {
         let (aim, deadline) = (class.latency_objective.as_ms(), class.deadline.as_ms());
         let effect = match class.idempotency {
@@ -51,9 +51,11 @@
     match fleet {
         None => text.push_str("no fleet file: an agent alone\n"),
         Some(fleet) => {
-            let _ = writeln!(text, "fleet file {}", fleet.file.display());
-            text.push_str(&fleet.describe());
-            for zone in fleet.regions.values().flatten().filter(|zone| !config.names.zones.contains(zone)) {
+            let _ = writeln!(text, "fleet file {}", fleet.path.display());
+            text.push_str(&fleet.contents.describe());
+            for zone in
+                fleet.contents.regions.values().flatten().filter(|zone| !config.names.zones.contains(zone))
+            {
                 let _ =
                     writeln!(text, "  note: zone {zone} is not in the settings; the list may still bring it");
             }
--- a/agent/src/config/fleet/tests.rs
+++ b/agent/src/config/fleet/tests.rs
@@ -1,3 +1,4 @@
+use super::changes::changes;
 use super::*;
 
 fn names() -> Names {
@@ -5,17 +6,18 @@
     balancer_settings::names(&serde_json::from_value(params).expect("settings"))
 }
 
-fn parse(text: &str) -> Result<Fleet, String> {
-    Fleet::parse(text, &names())
+fn parse(text: &str) -> Result<Contents, FleetError> {
+    parse::parse(text, &names())
 }
 
-const WHOLE: &str = "[fleet]\nname = \"tartu\"\nlisten = \"127.0.1.4:7946\"\nseeds = [\"127.0.1.5:7946\"]\n\
+const COMPLETE: &str =
+    "[fleet]\nname = \"tartu\"\nlisten = \"127.0.1.4:7946\"\nseeds = [\"127.0.1.5:7946\"]\n\
                          state = \"s\"\n[regions]\nnorth = [\"a\", \"b\"]\nsouth = [\"c\"]\n[shared]\n\
                          stale_after_ms = 500\n[limits.classes]\narchive = 400\n";
 
 #[test]
-fn a_whole_file_is_read_and_an_empty_one_says_nothing() {
-    let fleet = parse(WHOLE).expect("a fleet file");
+fn a_complete_file_is_read_and_an_empty_one_says_nothing() {
+    let fleet = parse(COMPLETE).expect("a fleet file");
     let membership = fleet.membership.as_ref().expect("a section");
     assert_eq!((membership.name.as_str(), membership.seeds.len()), ("tartu", 1));
     assert_eq!(fleet.regions["north"], ["a", "b"]);
@@ -47,26 +49,26 @@
         ("[regions]\nn = [\"a\"\n", "line "),
         ("[regions]\nn = [\"a\"]", "the last line has no end"),
     ] {
-        let why = parse(text).expect_err(text);
+        let why = parse(text).expect_err(text).to_string();
         assert!(why.contains(said), "{text}: {why}");
         assert!(!why.contains('\n') && why.len() < 400, "{why}");
     }
 }
 
 #[test]
-fn a_running_agent_names_what_changes_and_refuses_what_it_cannot() {
-    let old = parse(WHOLE).expect("a fleet file");
-    assert_eq!(old.changes(&old), Ok(Vec::new()));
-    let new = WHOLE.replace("\"b\"", "\"d\"").replace("127.0.1.5", "127.0.1.6").replace("400", "300.5");
-    let changes = old.changes(&parse(&new).expect("a fleet file")).expect("it can");
-    let [seeds, region, limit] = &changes[..] else { panic!("{changes:?}") };
+fn a_running_agent_names_what_changes_and_rejects_what_it_cannot() {
+    let old = parse(COMPLETE).expect("a fleet file");
+    assert_eq!(changes(&old, &old), Ok(Vec::new()));
+    let new = COMPLETE.replace("\"b\"", "\"d\"").replace("127.0.1.5", "127.0.1.6").replace("400", "300.5");
+    let changed = changes(&old, &parse(&new).expect("a fleet file")).expect("it can");
+    let [seeds, region, limit] = &changed[..] else { panic!("{changed:?}") };
     assert!(seeds.contains("fleet.seeds") && region.contains("regions.north to [\"a\", \"d\"]"));
     assert_eq!(limit, "limits.classes.archive to 300.5");
-    let gone = parse(&WHOLE.replace("south = [\"c\"]\n", "")).expect("a fleet file");
-    assert_eq!(old.changes(&gone), Ok(vec!["regions.south gone".to_owned()]));
+    let gone = parse(&COMPLETE.replace("south = [\"c\"]\n", "")).expect("a fleet file");
+    assert_eq!(changes(&old, &gone), Ok(vec!["regions.south gone".to_owned()]));
     for (from, to) in [("tartu", "other"), ("127.0.1.4", "127.0.1.9"), ("\"s\"", "\"t\"")] {
-        let new = parse(&WHOLE.replace(from, to)).expect("a fleet file");
-        assert!(old.changes(&new).expect_err("it cannot").contains("takes a new process"));
+        let new = parse(&COMPLETE.replace(from, to)).expect("a fleet file");
+        assert!(changes(&old, &new).expect_err("it cannot").to_string().contains("takes a new process"));
     }
-    assert!(old.changes(&parse("").expect("empty")).is_err());
+    assert!(changes(&old, &parse("").expect("empty")).is_err());
 }
--- a/agent/src/config/tests.rs
+++ b/agent/src/config/tests.rs
@@ -3,6 +3,7 @@
 fn load(text: &str, listen: &str) -> Result<Config, String> {
     let file = serde_json::from_str(text).map_err(|e| e.to_string())?;
     Config::from_file(file, |name| (name == "PROXY_LISTEN").then(|| listen.to_owned()))
+        .map_err(|e| e.to_string())
 }
 
 const SETTINGS: &str = r#"{"classes":[{"name":"a","aimMs":100,"deadlineMs":200,"effect":"idempotent"}]}"#;
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -73,7 +73,7 @@
         let wall_clock = Rc::new(WallClock::new(clock));
         let effects = config.settings.classes.iter().map(|c| c.idempotency).collect();
         let metrics = Metrics::new(config.names.classes.len());
-        let budget = Rc::new(Budget::of(config.memory_mb, config.shared));
+        let budget = Rc::new(Budget::of(config.memory_mb, config.is_memory_shared));
         let connect_timeout = Duration::from_micros(config.names.connect_timeout.0);
         let upstream = Rc::new(Upstream::new(
             connections,
@@ -90,8 +90,8 @@
         let state = State {
             queue: Queue::new(balancer, clock),
             requests: Requests::new(Log::new(clock.origin)),
-            servers: Servers::new(config.servers_most, wall_clock.clone()),
-            discovery: Discovery::new(config.discovery, connect_timeout, config.servers_most),
+            servers: Servers::new(config.max_servers, wall_clock.clone()),
+            discovery: Discovery::new(config.discovery, connect_timeout, config.max_servers),
         };
         let driver = Rc::new(Driver {
             clock,
@@ -108,7 +108,7 @@
         {
             let mut state = driver.state.borrow_mut();
             let describe = |server, host: &_| driver.upstream.describe(server, host);
-            let list = state.servers.begin(config.known, &driver.names, describe);
+            let list = state.servers.begin(config.endpoint_list, &driver.names, describe);
             state.queue.push(Event::Endpoints(EndpointUpdate::Saved(list)));
             for action in actions {
                 driver.carry_out(&mut state, action);
--- a/agent/src/process.rs
+++ b/agent/src/process.rs
@@ -53,8 +53,9 @@
     pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
         // Before anything is opened that could take the descriptor's number.
         let held = listener::inherited_listener(&var).map_err(|error| error.to_string())?;
-        let config = Config::load(&var)?;
-        let fleet = fleet_file(&var).map(|file| Fleet::read(&file, &config.names)).transpose()?;
+        let config = Config::load(&var).map_err(|error| error.to_string())?;
+        let fleet = fleet_file(&var).map(|file| Fleet::read(&file, &config.names)).transpose();
+        let fleet = fleet.map_err(|error| error.to_string())?;
         let log = log::Form::read(&var)?;
         Ok(Start { held, config, fleet, log })
     }
@@ -92,14 +93,14 @@
     let shortest = deadlines().min().unwrap_or_default();
     let longest = deadlines().max().unwrap_or_default();
     let name = config.name.clone();
-    let operator = config.operator;
+    let operator = config.admin_address;
     let apart = SPARE_SOCKETS + operator.map_or(0, |_| callers::DESCRIPTORS);
-    let sockets = config.sockets.saturating_sub(apart);
+    let sockets = config.max_descriptors.saturating_sub(apart);
     let backends = sockets / BACKENDS_SHARE;
     let folder = std::env::var_os("TMPDIR").filter(|_| operator.is_some()).map(PathBuf::from);
     let driver = Driver::start(config, backends).map_err(|e| e.to_string())?;
     if let Some(fleet) = &fleet {
-        driver.regions(&fleet.regions);
+        driver.regions(&fleet.contents.regions);
     }
     let admin = Admin::new(driver.clone(), folder, name.clone(), listen.to_string());
     let mut driven = tokio::task::spawn_local(driver.clone().run());
@@ -139,7 +140,7 @@
         tokio::select! {
             _ = term.recv() => break,
             _ = hangup.recv() => {
-                match Config::discovery_now(|name| std::env::var(name).ok()) {
+                match Config::reload_discovery(|name| std::env::var(name).ok()) {
                     Ok(discovery) => {
                         tracing::info!(target: "process", "{name}: discovery is at {discovery} now");
                         driver.discovery_moved(discovery);
@@ -189,13 +190,11 @@
 
 /// Takes the fleet file as it is now, all of it or nothing, and says what changed.
 fn take_fleet(name: &str, fleet: &mut Fleet, driver: &Rc<Driver>) {
-    let new = Fleet::read(&fleet.file, &driver.names).and_then(|new| Ok((fleet.changes(&new)?, new)));
-    match new {
-        Ok((changes, new)) => {
+    match fleet.reload(&driver.names) {
+        Ok(changes) => {
             let changes = if changes.is_empty() { "nothing changed".to_owned() } else { changes.join("; ") };
             tracing::info!(target: "process", "{name}: the fleet file is read again: {changes}");
-            driver.regions(&new.regions);
-            *fleet = new;
+            driver.regions(&fleet.contents.regions);
         }
         Err(why) => {
             tracing::warn!(target: "process", "{name}: the new fleet file is not taken, what was known stands: {why}")
--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,12 +5,19 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 39] = [
+const LAYERS: [&str; 46] = [
     "endpoint_list",
     "admin_api",
     "metrics",
     "log",
+    "config/fleet/contents",
+    "config/fleet/error",
+    "config/fleet/section",
+    "config/fleet/parse",
+    "config/fleet/changes",
     "config/fleet",
+    "config/error",
+    "config/file",
     "config",
     "traffic/errors",
     "traffic/socket",
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -58,7 +58,7 @@
 /// Starts one agent; all that ties this file to how the program holds an agent. Runs within a local set.
 fn agent(args: &Args, number: usize) -> Result<Rc<Driver>, String> {
     let told = |name: &str| (name == "PROXY_CONFIG").then(|| args.config.display().to_string());
-    let mut config = Config::load(told)?;
+    let mut config = Config::load(told).map_err(|error| error.to_string())?;
     config.seed = number as u64;
     let (name, listen) = (format!("h{number}"), config.listen.to_string());
     let driver = Driver::start(config, BACKENDS).map_err(|e| e.to_string())?;
