--- a/agent/src/cli.rs
+++ b/agent/src/cli.rs
@@ -1,12 +1,14 @@
 //! The command line.
 
 use crate::check;
-use crate::process::{self, Start};
+use crate::process::startup::{Startup, StartupError};
+use crate::process::{self, ProcessError};
 use clap::{Args, Parser, Subcommand};
 use std::ffi::OsString;
-use std::io::Write;
+use std::io::{self, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
+use thiserror::Error;
 
 /// A load-balancing agent: it sends the requests of the application beside it to the renderers that discovery lists.
 ///
@@ -48,43 +50,55 @@
     fleet: Option<PathBuf>,
 }
 
-/// Runs the program.
+/// Why the program ended with an error.
+#[derive(Debug, Error)]
+enum CliError {
+    #[error(transparent)]
+    Process(#[from] ProcessError),
+    #[error(transparent)]
+    Startup(#[from] StartupError),
+    #[error("cannot print: {0}")]
+    Print(#[source] io::Error),
+}
+
+/// The exit code where the line on standard error says what is wrong.
+const FAILURE: u8 = 2;
+
+/// Runs the program. The exit codes are those that `--help` shows.
 pub fn run(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let arguments: Vec<OsString> = arguments.collect();
     // The usual start has nothing to read, and what would read it would take 0.3 MB of every agent.
     let cli = if arguments.len() < 2 { Ok(Cli { command: None }) } else { Cli::try_parse_from(arguments) };
-    let done = match cli {
-        Ok(Cli { command: None }) => process::run(),
+    let result = match cli {
+        Ok(Cli { command: None }) => process::run().map_err(CliError::from),
         Ok(Cli { command: Some(Command::Check(check)) }) => check.run(),
         Err(other) => {
-            // Help and version come this way as well. One who no longer reads them needs no word of it.
+            // Help and version come this way as well. Standard output may be closed already.
             let _ = other.print();
             return ExitCode::from(other.exit_code() as u8);
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            // Nobody may listen; the exit code tells all the same.
-            let _ = writeln!(std::io::stderr(), "balancer-agent: {why}");
-            ExitCode::from(2)
+        Err(error) => {
+            // Standard error may be closed; the exit code says it all the same.
+            let _ = writeln!(io::stderr(), "balancer-agent: {error}");
+            ExitCode::from(FAILURE)
         }
     }
 }
 
 impl Check {
-    fn run(self) -> Result<(), String> {
-        let start = Start::read(|name| {
-            let given = match name {
+    fn run(self) -> Result<(), CliError> {
+        let startup = Startup::read(|variable| {
+            let argument = match variable {
                 "PROXY_CONFIG" => self.config.as_ref(),
                 "PROXY_FLEET" => self.fleet.as_ref(),
                 _ => None,
             };
             // The platform's own names are text; a path that is none cannot be theirs.
-            given.map(|path| path.to_string_lossy().into_owned()).or_else(|| std::env::var(name).ok())
+            argument.map(|path| path.to_string_lossy().into_owned()).or_else(|| std::env::var(variable).ok())
         })?;
-        std::io::stdout()
-            .write_all(check::describe(&start).as_bytes())
-            .map_err(|e| format!("cannot print: {e}"))
+        io::stdout().write_all(check::describe(&startup).as_bytes()).map_err(CliError::Print)
     }
 }
--- a/agent/src/log.rs
+++ b/agent/src/log.rs
@@ -13,9 +13,11 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering::Relaxed};
 use std::sync::mpsc::{sync_channel, SyncSender};
 use std::sync::Arc;
+use thiserror::Error;
 use tokio::time::{Duration, Instant};
+use tracing::subscriber::SetGlobalDefaultError;
 use tracing::Event;
-use tracing_subscriber::filter::Targets;
+use tracing_subscriber::filter::{ParseError, Targets};
 use tracing_subscriber::fmt::MakeWriter;
 use tracing_subscriber::layer::{Context, SubscriberExt};
 use tracing_subscriber::{Layer, Registry};
@@ -33,6 +35,33 @@
 /// How often the counts are written.
 const PERIOD: Duration = Duration::from_secs(5);
 
+/// Why the log cannot be written.
+#[derive(Debug, Error)]
+pub enum LogError {
+    /// `PROXY_LOG` names no format.
+    #[error("PROXY_LOG is {value:?}; text or json was expected")]
+    InvalidFormat {
+        /// Its value.
+        value: String,
+    },
+    /// `PROXY_LOG_FILTER` is no filter.
+    #[error(
+        "PROXY_LOG_FILTER is {value:?}; a level or TARGET=LEVEL, with commas between, was expected: {source}"
+    )]
+    InvalidFilter {
+        /// Its value.
+        value: String,
+        /// Why it cannot be parsed.
+        source: ParseError,
+    },
+    /// The thread that writes cannot be started.
+    #[error("cannot start the log's thread: {0}")]
+    Thread(#[source] io::Error),
+    /// The process writes a log already.
+    #[error("cannot start the log: {0}")]
+    AlreadyStarted(#[from] SetGlobalDefaultError),
+}
+
 /// How the log is written.
 #[derive(Debug, Clone)]
 pub struct Form {
@@ -42,18 +71,18 @@
 
 impl Form {
     /// By `PROXY_LOG` and `PROXY_LOG_FILTER`.
-    pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
+    pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<Self, LogError> {
         let text = |name: &str| var(name).filter(|text| !text.is_empty());
         let json = match text("PROXY_LOG").as_deref() {
             None | Some("text") => false,
             Some("json") => true,
-            Some(other) => return Err(format!("PROXY_LOG is {other:?}; text or json was expected")),
+            Some(other) => return Err(LogError::InvalidFormat { value: other.to_owned() }),
         };
         let filter = text("PROXY_LOG_FILTER").unwrap_or_else(|| "info".into());
-        let filter = filter.parse().map_err(|why| {
-            format!("PROXY_LOG_FILTER is {filter:?}; a level or TARGET=LEVEL, with commas between, was expected: {why}")
-        })?;
-        Ok(Form { json, filter })
+        match filter.parse() {
+            Ok(filter) => Ok(Form { json, filter }),
+            Err(source) => Err(LogError::InvalidFilter { value: filter, source }),
+        }
     }
 
     /// Whoever takes the events of this process and writes them there.
@@ -72,7 +101,7 @@
     }
 
     /// Writes all events of this process to standard error from now on, until the answer is dropped.
-    pub fn start(&self) -> Result<Written, String> {
+    pub fn start(&self) -> Result<Written, LogError> {
         let (queue, lines) = sync_channel::<Line>(WAITING_MOST);
         let taker = std::thread::Builder::new().name("log".into()).spawn(move || {
             for line in lines {
@@ -86,10 +115,9 @@
                 }
             }
         });
-        taker.map_err(|e| format!("cannot start the log's thread: {e}"))?;
+        taker.map_err(LogError::Thread)?;
         let subscriber = self.subscriber(Lines(queue.clone()), Bound::new());
-        tracing::subscriber::set_global_default(subscriber)
-            .map_err(|e| format!("cannot start the log: {e}"))?;
+        tracing::subscriber::set_global_default(subscriber)?;
         Ok(Written(queue))
     }
 }
--- a/agent/src/log/tests.rs
+++ b/agent/src/log/tests.rs
@@ -37,6 +37,7 @@
 
 fn form(log: &str, filter: &str) -> Result<Form, String> {
     Form::read(|name| Some(if name == "PROXY_LOG" { log } else { filter }.to_owned()))
+        .map_err(|error| error.to_string())
 }
 
 fn said(form: &Form, say: impl FnOnce()) -> String {
--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,7 +5,7 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 46] = [
+const LAYERS: [&str; 49] = [
     "endpoint_list",
     "admin_api",
     "metrics",
@@ -47,6 +47,9 @@
     "admin/call",
     "admin/callers",
     "admin/listener",
+    "process/startup",
+    "process/signals",
+    "process/shutdown",
     "process",
     "check",
     "cli",
