--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -83,7 +83,7 @@
         let wall_clock = Rc::new(WallClock::new(clock));
         let idempotency = config.settings.classes.iter().map(|class| class.idempotency).collect();
         let metrics = Metrics::new(config.names.classes.len());
-        let budget = Rc::new(MemoryBudget::for_process(config.memory_mb, config.shared));
+        let budget = Rc::new(MemoryBudget::for_process(config.memory_mb, config.is_memory_shared));
         let connect_timeout = Duration::from_micros(config.names.connect_timeout.0);
         let upstream = Rc::new(UpstreamClient::new(
             connections,
@@ -99,16 +99,16 @@
         balancer.start(clock.now(), &mut actions);
         // Where changes are pushed the balancer never polls for them; on sockets a watch is what brings them.
         actions.extend(is_pushed.then_some(Action::Watch { active: true }));
-        let mut servers = Servers::new(config.servers_most, wall_clock.clone());
+        let mut servers = Servers::new(config.max_servers, wall_clock.clone());
         let describe = |server, host: &_| upstream.update_endpoint(server, host);
-        let endpoints = servers.apply_list(config.known, &config.names, describe);
+        let endpoints = servers.apply_list(config.endpoint_list, &config.names, describe);
         let mut queue = Queue::new(balancer, clock);
         queue.push(Event::Endpoints(EndpointUpdate::Saved(endpoints)));
         let state = State {
             queue,
             requests: PendingRequests::new(Log::new(clock.origin)),
             servers,
-            discovery: DiscoveryClient::new(config.discovery, connect_timeout, config.servers_most),
+            discovery: DiscoveryClient::new(config.discovery, connect_timeout, config.max_servers),
         };
         let driver = Rc::new(Driver {
             clock,
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -3,8 +3,8 @@
 //! the testbed, so that what it uses is told apart from what the testbed's stand-ins use.
 
 use crate::stage::processes::{bind_to_this, memory_mb, scheduled};
-use balancer_agent::admin::commands::Admin;
 use balancer_agent::admin::listener;
+use balancer_agent::admin::service::Admin;
 use balancer_agent::{Config, Driver};
 use serde_json::json;
 use std::io::{BufRead, Write};
@@ -58,7 +58,7 @@
 /// Starts one agent; all that ties this file to how the program holds an agent. Runs within a local set.
 fn agent(args: &Args, number: usize) -> Result<Rc<Driver>, String> {
     let told = |name: &str| (name == "PROXY_CONFIG").then(|| args.config.display().to_string());
-    let mut config = Config::load(told)?;
+    let mut config = Config::load(told).map_err(|error| error.to_string())?;
     config.seed = number as u64;
     let (name, listen) = (format!("h{number}"), config.listen.to_string());
     let driver = Driver::start(config, BACKENDS).map_err(|e| e.to_string())?;
