--- a/agent/src/downstream/handler.rs
+++ b/agent/src/downstream/handler.rs
@@ -5,7 +5,7 @@
 use crate::downstream::lifecycle::Lifecycle;
 use crate::downstream::request_head::{header_text, RequestHead};
 use crate::downstream::responses::{answer_response, error_response, text_response};
-use crate::driver::requests::Arrival;
+use crate::driver::arrival::Arrival;
 use crate::driver::{Driver, ANSWER_TURNS};
 use crate::traffic::body_deadline::BodyDeadline;
 use crate::traffic::connection_timer::{yield_turns, StartedRequest};
@@ -52,7 +52,7 @@
 
 impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        self.driver.gone(self.id);
+        self.driver.abandon(self.id);
     }
 }
 
@@ -100,7 +100,7 @@
             Ok(arrival) => self.wait_for_answer(arrival).await,
             Err(error) => {
                 let request_id = request_id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or_default();
-                self.driver.record_rejection(request_id, error.status(), &error.to_string());
+                self.driver.record_invalid_request(request_id, error.status(), &error.to_string());
                 error_response(error)
             }
         }
@@ -114,7 +114,7 @@
     }
 
     fn readiness_response(&self) -> Response<ResponseBody> {
-        if self.driver.ready() && self.lifecycle.is_running() {
+        if self.driver.is_ready() && self.lifecycle.is_running() {
             text_response(StatusCode::OK, "ready")
         } else {
             text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
@@ -128,7 +128,7 @@
         body_deadline: BodyDeadline,
     ) -> Result<Arrival, RequestError> {
         let (parts, body) = request.into_parts();
-        let head = RequestHead::parse(&parts, &self.driver.names, &self.driver.effects)?;
+        let head = RequestHead::parse(&parts, &self.driver.names, &self.driver.idempotency)?;
         let reader = BodyReader {
             budget: &self.driver.budget,
             lifecycle: &self.lifecycle,
@@ -138,7 +138,7 @@
         };
         let body = reader.read(body).await?;
         // While the body waited for memory its client may have sent all of it, and its time went by.
-        let came = Instant::now() - body.memory_wait;
+        let arrived_at = Instant::now() - body.memory_wait;
         Ok(Arrival {
             class: head.class,
             tenant: head.tenant,
@@ -146,8 +146,8 @@
             cost_hint: head.cost_hint,
             repeat: head.is_retry,
             name: head.request_id,
-            came,
-            deadline: self.deadline(came, head.wait),
+            arrived_at,
+            deadline: self.deadline(arrived_at, head.wait),
             headers: forwarded_headers(&parts.headers),
             method: parts.method,
             uri: parts.uri,
@@ -155,14 +155,14 @@
         })
     }
 
-    /// When the answer of a request that came at `came` must be on its way.
-    fn deadline(&self, came: Instant, wait: Duration) -> Instant {
+    /// When the answer of a request that arrived at `arrived_at` must be on its way.
+    fn deadline(&self, arrived_at: Instant, wait: Duration) -> Instant {
         let reserve = ANSWER_RESERVE.min(wait / 4);
         let wait = match self.lifecycle.answer_by() {
-            Some(answer_by) => wait.min(answer_by.saturating_duration_since(came)).max(reserve),
+            Some(answer_by) => wait.min(answer_by.saturating_duration_since(arrived_at)).max(reserve),
             None => wait,
         };
-        came + (wait - reserve)
+        arrived_at + (wait - reserve)
     }
 
     async fn wait_for_answer(&self, arrival: Arrival) -> Response<ResponseBody> {
--- a/agent/src/downstream/responses.rs
+++ b/agent/src/downstream/responses.rs
@@ -18,7 +18,7 @@
             response.headers_mut().extend(content_length.map(|value| (CONTENT_LENGTH, value)));
             response
         }
-        Answer::Refused(retry_after) => {
+        Answer::Rejected(retry_after) => {
             let status = StatusCode::TOO_MANY_REQUESTS;
             let mut response = text_response(status, "refused; trying again is harmless");
             let retry_after = retry_after.and_then(retry_after_seconds);
--- a/agent/src/upstream/discovery/call.rs
+++ b/agent/src/upstream/discovery/call.rs
@@ -1,8 +1,8 @@
 //! One call to discovery: its connection, its request, and the response, which is read as it comes.
 
-use crate::endpoint_list::{Envelope, Host, Reader, Unread};
+use crate::endpoint_list::{Envelope, Host, InvalidEntry, ListError, Reader};
 use crate::traffic::socket::Socket;
-use crate::upstream::discovery::errors::{CallError, ListError};
+use crate::upstream::discovery::errors::CallError;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Incoming;
@@ -35,7 +35,7 @@
     /// A call has been made; what an earlier response began is void.
     CallStarted,
     /// Entries of a response that is still coming, [`MAX_ENTRIES_PER_STEP`] at most.
-    Entries(Vec<Result<Host, Unread>>),
+    Entries(Vec<Result<Host, InvalidEntry>>),
     /// The response is complete.
     Complete(Envelope),
     /// There was more to apply than fits beside requests: time for the next step of it.
@@ -103,8 +103,8 @@
         match result {
             Ok(envelope) => {
                 // A watch without changes says nothing here either.
-                if envelope.whole || entries > 0 {
-                    let what = if envelope.whole { "the whole list" } else { "changes" };
+                if envelope.is_complete || entries > 0 {
+                    let what = if envelope.is_complete { "the whole list" } else { "changes" };
                     tracing::info!(target: "discovery", "{what} to {}, {entries} entries, after {elapsed_ms:.1} ms", envelope.seq);
                 }
                 self.apply(envelope).await;
@@ -193,10 +193,10 @@
 /// What is said of the list as such, once its response has ended. Half a list has failed; a complete one that is
 /// unusable is malformed.
 fn end_list(reader: Reader) -> Result<Envelope, CallError> {
-    let is_complete = reader.is_whole();
+    let is_complete = reader.is_complete();
     reader.end().map_err(|error| match is_complete {
-        true => CallError::MalformedList(error.into()),
-        false => CallError::IncompleteList(error.into()),
+        true => CallError::MalformedList(error),
+        false => CallError::IncompleteList(error),
     })
 }
 
--- a/agent/src/upstream/discovery/errors.rs
+++ b/agent/src/upstream/discovery/errors.rs
@@ -1,12 +1,9 @@
 //! Why a call to discovery failed. The texts are what the log says.
 
+use crate::endpoint_list::ListError;
 use hyper::StatusCode;
-use std::error::Error;
 use std::io;
 
-/// An error of the endpoint list's reader.
-pub type ListError = Box<dyn Error + Send + Sync>;
-
 /// Why a call brought no endpoint list.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
