--- a/agent/src/admin/service.rs
+++ b/agent/src/admin/service.rs
@@ -93,8 +93,8 @@
         let left_out = zones.len().saturating_sub(MAX_ZONES) as u64;
         let cordons = self.cordons.borrow();
         let complete = |(name, sums): (String, Zone)| Zone {
-            left: cordons.is_withdrawn(&Target::Zone(name.clone())),
-            use_of: phases.remove(&name).unwrap_or_default(),
+            is_evacuated: cordons.is_withdrawn(&Target::Zone(name.clone())),
+            phases: phases.remove(&name).unwrap_or_default(),
             zone: name,
             ..sums
         };
@@ -114,8 +114,8 @@
             zone.listed += 1;
             zone.serving += u64::from(renderer.serving);
             zone.cordoned += u64::from(renderer.cordoned);
-            zone.doubted += u64::from(renderer.doubted);
-            zone.cold += u64::from(renderer.warmth < 1.0);
+            zone.ejected += u64::from(renderer.is_ejected);
+            zone.warming_up += u64::from(renderer.slow_start_factor < 1.0);
             zone.limit += renderer.limit;
             zone.in_flight += renderer.in_flight;
             zone.sends += renderer.sends;
--- a/agent/src/admin_api.rs
+++ b/agent/src/admin_api.rs
@@ -1,4 +1,5 @@
-//! What the second address answers, in the form in which it is written and read: one JSON object a call.
+//! The answers of the admin API as they are written and read: one JSON object a call. The JSON keys are part of the API
+//! and stay as they are where a field has another name.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -6,140 +7,149 @@
 /// The answer to `counters`: counts since the start of the process.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counters {
-    /// Requests served, by class.
+    /// Requests that got a server's response, by class.
     pub answered: BTreeMap<String, u64>,
-    /// Requests refused, by class.
-    pub deferred: BTreeMap<String, u64>,
-    /// Requests failed, by class.
-    pub errored: BTreeMap<String, u64>,
-    /// Attempts written whole to renderers.
+    /// Requests rejected by the agent, by class.
+    #[serde(rename = "deferred")]
+    pub rejected: BTreeMap<String, u64>,
+    /// Requests that failed, by class.
+    #[serde(rename = "errored")]
+    pub failed: BTreeMap<String, u64>,
+    /// Attempts written completely to servers.
     pub sends: u64,
-    /// Requests taken and not ended.
+    /// Requests accepted and not ended.
     pub current: u64,
-    /// Renderers on the list.
+    /// Servers on the endpoint list.
     pub cluster_size: u64,
-    /// Those of them that get nothing, or next to nothing.
+    /// Those of them that get no requests, or next to none.
     pub cluster_unhealthy: u64,
 }
 
 /// The answer to `renderers`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Renderers {
-    /// Those on the list, by name; at most [`MAX_RENDERERS`].
+    /// The servers on the endpoint list, by name; at most [`MAX_RENDERERS`].
     pub renderers: Vec<Renderer>,
-    /// Those past that bound.
+    /// How many are past that bound.
     pub left_out: u64,
-    /// Words of the operators that are not on disk yet: they hold in this process, and would not outlive it.
+    /// Operator commands that are not on disk yet: they hold in this process, and would not outlive it.
     #[serde(default)]
     pub unsaved: u64,
 }
 
-/// At most so many renderers are told of in one answer.
+/// One answer has at most so many servers.
 pub const MAX_RENDERERS: usize = 2000;
-/// At most so many zones.
+/// One answer has at most so many zones.
 pub const MAX_ZONES: usize = 256;
 
-/// One renderer as an agent sees it. Counts are of attempts since the process began, and of its own alone.
+/// One server as an agent sees it. Counts are of this process's own attempts since its start.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Renderer {
-    /// Its name on the list.
+    /// Its name on the endpoint list.
     pub id: String,
-    /// Its zone on the list.
+    /// Its zone on the endpoint list.
     pub zone: String,
-    /// The list says that it takes work; else it drains.
+    /// Whether the endpoint list has it in service; otherwise it is draining.
     pub serving: bool,
-    /// Admin have taken it out of use at this agent.
+    /// Whether the operators have cordoned it at this agent.
     pub cordoned: bool,
-    /// It is suspect by its own answers: it gets trials alone, or a small part of its share.
-    pub doubted: bool,
-    /// The share of its capacity that it surely has, 0 to 1; under 1 it has started lately.
-    pub warmth: f64,
-    /// Requests that it may hold of this agent now; under 1 a rest follows each answer.
+    /// Whether it is ejected as an outlier: it gets probation requests alone, or a small part of its share.
+    #[serde(rename = "doubted")]
+    pub is_ejected: bool,
+    /// The part of its capacity that it is assumed to have, 0 to 1; under 1 it is warming up.
+    #[serde(rename = "warmth")]
+    pub slow_start_factor: f64,
+    /// Its concurrency limit for this agent; under 1 a pause follows each response.
     pub limit: f64,
-    /// Attempts that are out.
+    /// Attempts in flight.
     pub in_flight: u64,
-    /// Attempts written whole.
+    /// Attempts written completely.
     pub sends: u64,
-    /// Attempts served.
+    /// Attempts with a successful response.
     pub answered: u64,
-    /// Attempts lost: an error, no answer in time, no connection or a broken one.
+    /// Attempts that failed: an error, no response in time, no connection or a broken one.
     pub failed: u64,
-    /// Attempts that it turned away unprocessed.
+    /// Attempts that it rejected unprocessed.
     pub rejected: u64,
 }
 
 /// The answer to `zones`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Zones {
-    /// All zones that the list names, by name; at most [`MAX_ZONES`].
+    /// All zones of the endpoint list, by name; at most [`MAX_ZONES`].
     pub zones: Vec<Zone>,
-    /// Those past that bound.
+    /// How many are past that bound.
     pub left_out: u64,
-    /// Words of the operators that are not on disk yet: they hold in this process, and would not outlive it.
+    /// Operator commands that are not on disk yet: they hold in this process, and would not outlive it.
     #[serde(default)]
     pub unsaved: u64,
 }
 
-/// How an agent uses a zone by its own evidence: as a whole, and for the classes for which it differs.
+/// The health of a zone by an agent's own evidence: for all classes, and for those for which it differs.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct ZonePhase {
-    /// As a whole.
+pub struct ZonePhases {
+    /// For all classes.
     #[serde(default, flatten)]
-    pub whole: PhaseOf,
+    pub overall: ZonePhase,
     /// For single classes, by name.
     #[serde(default)]
-    pub classes: BTreeMap<String, PhaseOf>,
+    pub classes: BTreeMap<String, ZonePhase>,
 }
 
-/// How far a zone is in use.
+/// How far a zone gets requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct PhaseOf {
+pub struct ZonePhase {
     /// `serving`, `leaving`, `away` or `returning`.
     pub phase: String,
-    /// The part of its draws that stand, 0 to 1.
+    /// The part of its usual requests that it gets, 0 to 1.
     pub share: f64,
-    /// Why; empty if there was never a reason.
+    /// Why it left `serving` last; empty if it never did.
     pub why: String,
 }
 
-impl Default for PhaseOf {
+impl Default for ZonePhase {
     fn default() -> Self {
-        PhaseOf { phase: "serving".into(), share: 1.0, why: String::new() }
+        ZonePhase { phase: "serving".into(), share: 1.0, why: String::new() }
     }
 }
 
-/// One zone as an agent sees it: sums over its renderers. The counts go on when a renderer leaves the list.
+/// One zone as an agent sees it: sums over its servers. The counts include servers that have left the endpoint list.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Zone {
-    /// Its name on the list.
+    /// Its name on the endpoint list.
     pub zone: String,
-    /// Admin have left it at this agent: nothing new goes there.
-    #[serde(default)]
-    pub left: bool,
-    /// How the agent uses it by its own evidence.
+    /// Whether the operators have evacuated it at this agent: it gets no new requests.
+    #[serde(default, rename = "left")]
+    pub is_evacuated: bool,
+    /// Its health by the agent's own evidence.
     #[serde(default, flatten)]
-    pub use_of: ZonePhase,
-    /// Its renderers on the list.
+    pub phases: ZonePhases,
+    /// Its servers on the endpoint list.
     pub listed: u64,
-    /// Those that the list says take work.
+    /// Those that the endpoint list has in service.
     pub serving: u64,
-    /// Those that staff have taken out of use at this agent.
+    /// Those that the operators have cordoned at this agent.
     pub cordoned: u64,
-    /// Those that are suspect by their own answers.
-    pub doubted: u64,
-    /// Those that have started lately.
-    pub cold: u64,
-    /// Requests that they may hold of this agent now.
+    /// Those that are ejected as outliers.
+    #[serde(rename = "doubted")]
+    pub ejected: u64,
+    /// Those that are warming up.
+    #[serde(rename = "cold")]
+    pub warming_up: u64,
+    /// The sum of their concurrency limits for this agent.
     pub limit: f64,
-    /// Attempts that are out.
+    /// Attempts in flight.
     pub in_flight: u64,
-    /// Attempts written whole.
+    /// Attempts written completely.
     pub sends: u64,
-    /// Attempts served.
+    /// Attempts with a successful response.
     pub answered: u64,
-    /// Attempts lost.
+    /// Attempts that failed.
     pub failed: u64,
-    /// Attempts turned away unprocessed.
+    /// Attempts rejected unprocessed.
     pub rejected: u64,
 }
+
+#[cfg(test)]
+mod tests;
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -8,7 +8,7 @@
 pub mod requests;
 pub mod servers;
 
-use crate::admin_api::{PhaseOf, Renderer, ZonePhase};
+use crate::admin_api::{Renderer, ZonePhase, ZonePhases};
 use crate::config::Config;
 use crate::log::{Log, Tried};
 use crate::metrics::{Attempts, Counts, Metrics};
@@ -153,8 +153,8 @@
                 zone: state.servers.zone(view.server).to_owned(),
                 serving: view.status == Status::Serving,
                 cordoned: view.cordoned,
-                doubted: view.outlier,
-                warmth: view.slow_start_factor,
+                is_ejected: view.outlier,
+                slow_start_factor: view.slow_start_factor,
                 limit: view.limit,
                 in_flight: view.in_flight.into(),
                 sends: attempts.sends,
@@ -246,9 +246,9 @@
     }
 
     /// How the balancer uses each zone that the list names: as a whole, and for the classes where that differs.
-    pub fn zone_phases(&self) -> BTreeMap<String, ZonePhase> {
+    pub fn zone_phases(&self) -> BTreeMap<String, ZonePhases> {
         let state = self.state.borrow();
-        let mut phases: BTreeMap<String, ZonePhase> = BTreeMap::new();
+        let mut phases: BTreeMap<String, ZonePhases> = BTreeMap::new();
         for view in state.queue.balancer.zone_views() {
             let zone = phases.entry(state.servers.zone_name(view.zone).to_owned()).or_default();
             let phase = format!("{:?}", view.phase).to_lowercase();
@@ -256,10 +256,10 @@
                 Some(class) => {
                     zone.classes.insert(
                         class.clone(),
-                        PhaseOf { phase, share: view.share, why: view.why.to_owned() },
+                        ZonePhase { phase, share: view.share, why: view.why.to_owned() },
                     );
                 }
-                None => zone.whole = PhaseOf { phase, share: view.share, why: view.why.to_owned() },
+                None => zone.overall = ZonePhase { phase, share: view.share, why: view.why.to_owned() },
             }
         }
         phases
--- a/agent/src/metrics.rs
+++ b/agent/src/metrics.rs
@@ -203,8 +203,8 @@
     };
     Counters {
         answered: by_class(|e| e.served),
-        deferred: by_class(|e| e.refused),
-        errored: by_class(|e| e.failed),
+        rejected: by_class(|e| e.refused),
+        failed: by_class(|e| e.failed),
         sends: counts.sends,
         current: counts.current(),
         cluster_size: listed as u64,
--- a/control/src/aggregate.rs
+++ b/control/src/aggregate.rs
@@ -11,8 +11,8 @@
     let mut sum = Counters::default();
     for one in counters {
         add_by_class(&mut sum.answered, &one.answered);
-        add_by_class(&mut sum.deferred, &one.deferred);
-        add_by_class(&mut sum.errored, &one.errored);
+        add_by_class(&mut sum.rejected, &one.rejected);
+        add_by_class(&mut sum.failed, &one.failed);
         add(&mut sum.sends, one.sends);
         add(&mut sum.current, one.current);
         raise(&mut sum.cluster_size, one.cluster_size);
@@ -36,14 +36,14 @@
     raise(&mut sum.listed, zone.listed);
     raise(&mut sum.serving, zone.serving);
     raise(&mut sum.cordoned, zone.cordoned);
-    raise(&mut sum.doubted, zone.doubted);
-    raise(&mut sum.cold, zone.cold);
-    sum.left |= zone.left;
-    if zone.use_of.whole.share < sum.use_of.whole.share {
-        sum.use_of.whole = zone.use_of.whole.clone();
+    raise(&mut sum.ejected, zone.ejected);
+    raise(&mut sum.warming_up, zone.warming_up);
+    sum.is_evacuated |= zone.is_evacuated;
+    if zone.phases.overall.share < sum.phases.overall.share {
+        sum.phases.overall = zone.phases.overall.clone();
     }
-    for (class, phase) in &zone.use_of.classes {
-        let lowest = sum.use_of.classes.entry(class.clone()).or_default();
+    for (class, phase) in &zone.phases.classes {
+        let lowest = sum.phases.classes.entry(class.clone()).or_default();
         if phase.share < lowest.share {
             *lowest = phase.clone();
         }
@@ -103,8 +103,8 @@
     fn add(&mut self, renderer: &Renderer) {
         self.listing_agents += 1;
         self.cordoning_agents += usize::from(renderer.cordoned);
-        self.ejecting_agents += usize::from(renderer.doubted);
-        self.slow_start_factor = self.slow_start_factor.min(renderer.warmth);
+        self.ejecting_agents += usize::from(renderer.is_ejected);
+        self.slow_start_factor = self.slow_start_factor.min(renderer.slow_start_factor);
         self.concurrency_limit += renderer.limit;
         add(&mut self.in_flight, renderer.in_flight);
         add(&mut self.sends, renderer.sends);
--- a/control/src/output/counters.rs
+++ b/control/src/output/counters.rs
@@ -27,8 +27,8 @@
         name.to_owned(),
         class.to_owned(),
         count(&counters.answered, class),
-        count(&counters.deferred, class),
-        count(&counters.errored, class),
+        count(&counters.rejected, class),
+        count(&counters.failed, class),
     ]
 }
 
--- a/control/src/output/zones.rs
+++ b/control/src/output/zones.rs
@@ -4,7 +4,7 @@
 use super::Page;
 use crate::aggregate::merge_zones;
 use crate::queries::FleetAnswers;
-use balancer_agent::admin_api::{PhaseOf, Zone, Zones};
+use balancer_agent::admin_api::{Zone, ZonePhase, Zones};
 
 const HEADER: [&str; 12] = [
     "ZONE",
@@ -42,12 +42,12 @@
 fn row(zone: &Zone) -> [String; HEADER.len()] {
     let name = if zone.zone.is_empty() { "?" } else { &zone.zone };
     [
-        if zone.left { format!("{name} (left)") } else { name.to_owned() },
+        if zone.is_evacuated { format!("{name} (left)") } else { name.to_owned() },
         zone.listed.to_string(),
         zone.serving.to_string(),
         zone.cordoned.to_string(),
-        zone.doubted.to_string(),
-        zone.cold.to_string(),
+        zone.ejected.to_string(),
+        zone.warming_up.to_string(),
         format!("{:.1}", zone.limit),
         zone.in_flight.to_string(),
         zone.sends.to_string(),
@@ -59,18 +59,18 @@
 
 /// How far the zone is in use and why, for all classes and for those that differ.
 fn partial_use(zone: &Zone) -> String {
-    let mut lines = partial_use_line(&zone.zone, "", &zone.use_of.whole);
-    for (class, phase) in &zone.use_of.classes {
+    let mut lines = partial_use_line(&zone.zone, "", &zone.phases.overall);
+    for (class, phase) in &zone.phases.classes {
         lines.push_str(&partial_use_line(&zone.zone, &format!(" for {class}"), phase));
     }
     lines
 }
 
-fn partial_use_line(zone: &str, scope: &str, use_of: &PhaseOf) -> String {
-    if use_of.share >= 1.0 {
+fn partial_use_line(zone: &str, scope: &str, zone_phase: &ZonePhase) -> String {
+    if zone_phase.share >= 1.0 {
         return String::new();
     }
-    let PhaseOf { phase, why, .. } = use_of;
-    let percent = 100.0 * use_of.share;
+    let ZonePhase { phase, why, .. } = zone_phase;
+    let percent = 100.0 * zone_phase.share;
     format!("{zone} is {phase}{scope} at an agent, {percent:.0}% of its draws: {why}\n")
 }
