--- a/agent/src/admin/service.rs
+++ b/agent/src/admin/service.rs
@@ -151,13 +151,12 @@
             return Ok(());
         }
         match target {
-            Target::Server(name) if self.driver.server(name).is_none() => {
-                Err(CommandError::UnknownServer(name.clone()))
-            }
-            Target::Zone(name) if !self.driver.knows_zone(name) => {
-                Err(CommandError::UnknownZone(name.clone()))
-            }
-            _ => Ok(()),
+            Target::Server(name) => match self.driver.server(name) {
+                Some(_) => Ok(()),
+                None => Err(CommandError::UnknownServer(name.clone())),
+            },
+            Target::Zone(name) if self.driver.knows_zone(name) => Ok(()),
+            Target::Zone(name) => Err(CommandError::UnknownZone(name.clone())),
         }
     }
 
--- a/agent/src/admin/snapshots.rs
+++ b/agent/src/admin/snapshots.rs
@@ -79,7 +79,8 @@
         }
         let after_failure = match self.write_state.get() {
             WriteState::Writing { .. } => return,
-            state => state == WriteState::Failed,
+            WriteState::Failed => true,
+            WriteState::Idle => false,
         };
         let snapshot = self.driver.snapshot();
         if snapshot.servers.iter().all(|server| server.samples == 0) {
--- a/agent/src/main.rs
+++ b/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The program; what it can do is [`balancer_agent::cli`]'s to say.
+//! The program, whose command line is in [`balancer_agent::cli`].
 
 use std::process::ExitCode;
 
