--- a/agent/src/driver/view.rs
+++ b/agent/src/driver/view.rs
@@ -2,7 +2,7 @@
 
 use super::servers::Servers;
 use super::state::State;
-use crate::admin_api::{PhaseOf, Renderer, ZonePhase};
+use crate::admin_api::{Renderer, ZonePhase, ZonePhases};
 use crate::metrics::{Attempts, Metrics};
 use balancer::{EndpointCounts, ServerId, ServerView, Snapshot, Status, Time};
 use balancer_settings::Names;
@@ -48,11 +48,11 @@
 
     /// How the balancer uses each zone of the endpoint list, by the zone's name: for all classes, and for the classes
     /// for which that differs.
-    pub fn zone_phases(&self) -> BTreeMap<String, ZonePhase> {
-        let mut phases: BTreeMap<String, ZonePhase> = BTreeMap::new();
+    pub fn zone_phases(&self) -> BTreeMap<String, ZonePhases> {
+        let mut phases: BTreeMap<String, ZonePhases> = BTreeMap::new();
         for view in self.state.queue.balancer.zone_views() {
             let zone = phases.entry(self.state.servers.zone_name(view.zone).to_owned()).or_default();
-            let phase = PhaseOf {
+            let phase = ZonePhase {
                 phase: format!("{:?}", view.phase).to_lowercase(),
                 share: view.share,
                 why: view.why.to_owned(),
@@ -61,7 +61,7 @@
                 Some(class) => {
                     zone.classes.insert(class.clone(), phase);
                 }
-                None => zone.whole = phase,
+                None => zone.overall = phase,
             }
         }
         phases
@@ -111,8 +111,8 @@
         zone: servers.zone(view.server).to_owned(),
         serving: view.status == Status::Serving,
         cordoned: view.cordoned,
-        doubted: view.outlier,
-        warmth: view.slow_start_factor,
+        is_ejected: view.outlier,
+        slow_start_factor: view.slow_start_factor,
         limit: view.limit,
         in_flight: view.in_flight.into(),
         sends: attempts.sends,
