--- a/agent/src/driver/requests.rs
+++ b/agent/src/driver/requests.rs
@@ -229,7 +229,7 @@
     pub fn log_invalid(&mut self, request: &str, status: StatusCode, reason: &str) {
         if self.log.has_capacity(Instant::now()) {
             let status = status.as_u16();
-            tracing::warn!(target: "request", request = format_args!("{request:.64}"), outcome = "turned_away", status, "{reason}");
+            tracing::warn!(target: "request", request = format_args!("{request:.64}"), outcome = "turned away", status, "{reason}");
         }
     }
 }
