--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -91,12 +91,12 @@
 }
 
 #[test]
-fn a_client_is_told_to_retry_after_its_latency_objective_within_what_it_respects() {
-    let told = |max_ms: f64| {
+fn a_client_is_asked_to_retry_after_its_latency_objective_within_what_it_respects() {
+    let retry_after_within = |max_ms: f64| {
         let settings = Settings { retry_after: true, max_retry_after: Span::from_ms(max_ms), ..settings() };
         retry_after(&settings, &class())
     };
-    assert_eq!(told(1000.0), Some(Span::from_ms(100.0)));
-    assert_eq!(told(50.0), Some(Span::from_ms(50.0)));
+    assert_eq!(retry_after_within(1000.0), Some(Span::from_ms(100.0)));
+    assert_eq!(retry_after_within(50.0), Some(Span::from_ms(50.0)));
     assert_eq!(retry_after(&settings(), &class()), None);
 }
--- a/src/balancer/servers.rs
+++ b/src/balancer/servers.rs
@@ -92,8 +92,8 @@
         }
     }
 
-    /// A server is unresponsive if an attempt there is overdue and nothing has come back since it was sent. What may be
-    /// retried and can still be answered in time is cancelled there and sent elsewhere.
+    /// A server is unresponsive if an attempt there is overdue and no response has arrived since it was sent. What
+    /// may be retried and can still be answered in time is cancelled there and sent elsewhere.
     pub(super) fn handle_unresponsive(&mut self, now: Time, actions: &mut Vec<Action>) {
         let overdue = self.overdue_attempts(now);
         self.settle_late_attempts(now);
--- a/src/concurrency.rs
+++ b/src/concurrency.rs
@@ -163,8 +163,8 @@
         now >= self.rest_until
     }
 
-    /// Whether the limit leaves room for one more request beside those `at_work`. The rests of a limit below one follow
-    /// from the limit as it is now, or one late response at a low level would rest a server for a minute.
+    /// Whether the limit leaves capacity for one more request beside those `at_work`. The rests of a limit below one
+    /// follow from the limit as it is now, or one late response at a low level would rest a server for a minute.
     pub(crate) fn has_capacity(&self, now: Time, level: f64, slow_start_factor: f64, at_work: u32) -> bool {
         let limit = self.limit * level;
         let rest_ms = self.last_latency_ms * (1.0 / limit - 1.0).max(0.0);
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -293,9 +293,9 @@
         before.into_iter().filter(has_changed).map(|(zone, _)| zone).collect()
     }
 
-    /// Frees the slots of servers that were removed a while ago; a server that comes back later counts as new. Requests,
-    /// affinity keys and zones name a server by its id. A slot that `is_in_use` is freed later, as is that of a server
-    /// that operators hold back or have just restored.
+    /// Frees the slots of servers that were removed a while ago; a server that is listed again later counts as new.
+    /// Requests, affinity keys and zones name a server by its id. A slot that `is_in_use` is freed later, as is that of
+    /// a server that operators hold back or have just restored.
     pub(crate) fn free_slots(&mut self, now: Time, is_in_use: impl Fn(usize) -> bool) {
         for slot in self.removed.due(now).take(MAX_FREED_SLOTS).collect::<Vec<_>>() {
             let server = &self.servers[slot];
--- a/src/outliers/tests.rs
+++ b/src/outliers/tests.rs
@@ -81,12 +81,14 @@
 
 #[test]
 fn gossip_suspects_a_server_for_a_shorter_time_than_own_evidence() {
-    let (mut outliers, mut own, mut told) = (outliers(), ServerHealth::new(NOW), ServerHealth::new(NOW));
+    let (mut outliers, mut own, mut gossiped) = (outliers(), ServerHealth::new(NOW), ServerHealth::new(NOW));
     let (mut rng, mut actions) = (fastrand::Rng::with_seed(1), Vec::new());
     outliers.suspect(NOW, ServerId(7), &mut own, &mut rng, &mut actions);
-    told.record_gossip(NOW);
-    assert!(own.is_suspected(NOW + GOSSIP_SUSPICION_TIME) && !told.is_suspected(NOW + GOSSIP_SUSPICION_TIME));
-    assert!(told.is_suspected(NOW));
+    gossiped.record_gossip(NOW);
+    assert!(
+        own.is_suspected(NOW + GOSSIP_SUSPICION_TIME) && !gossiped.is_suspected(NOW + GOSSIP_SUSPICION_TIME)
+    );
+    assert!(gossiped.is_suspected(NOW));
     assert_eq!(actions.len(), 64, "as many peers as one message may go to");
     outliers.suspect(NOW, ServerId(7), &mut own, &mut rng, &mut actions);
     outliers.suspect(NOW, ServerId(7), &mut own, &mut rng, &mut actions);
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -47,7 +47,7 @@
 pub(crate) struct PermittedActions {
     /// Where another attempt may go.
     pub(crate) send: RetryScope,
-    /// Whether the client may be told that the request was not executed.
+    /// Whether the client may get a rejection, which says that the request was not executed.
     pub(crate) reject: bool,
 }
 
--- a/src/selection/weights.rs
+++ b/src/selection/weights.rs
@@ -85,8 +85,8 @@
         }
     }
 
-    /// The own requests as they count next to the server's capacity, and a random number weighted by what the server can take (an exponential race:
-    /// Efraimidis and Spirakis, "Weighted random sampling with a reservoir", 2006).
+    /// The own requests as they count next to the server's capacity, and a random number weighted by what the server can
+    /// take (an exponential race: Efraimidis and Spirakis, "Weighted random sampling with a reservoir", 2006).
     fn sparse_load_key(
         &self,
         now: Time,
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -39,7 +39,7 @@
     /// The open servers that were warming up at the last check, by when they have warmed up.
     warming: DueTimes,
     checked_at: Time,
-    /// The work that each warmed-up server was sent on average.
+    /// The average work that was sent to each warmed-up server.
     warm_sent: DecayingSum,
     /// The same in the overload window.
     warm_sent_in_window: WindowedSum,
@@ -227,7 +227,7 @@
         server.add_to_window(now, self.overload_window, work);
     }
 
-    /// The recent work that each warmed-up server was sent on average.
+    /// The recent average work that was sent to each warmed-up server.
     pub(crate) fn warm_sent(&self, now: Time) -> f64 {
         self.warm_sent.value(now)
     }
--- a/src/slow_start/tests.rs
+++ b/src/slow_start/tests.rs
@@ -30,18 +30,18 @@
 #[test]
 fn a_warming_server_is_sent_its_share_of_a_warm_servers_work_and_no_more() {
     let (mut slow_start, now) = (slow_start(4), Time::from_ms(5000.0));
-    let (mut warm, mut cold) = (ServerSlowStart::default(), ServerSlowStart::default());
-    slow_start.index(0, &warm, None, true);
-    slow_start.index(1, &cold, Some(now), true);
-    slow_start.record_send(now, &mut warm, 1.0, 2, 100.0);
+    let (mut warmed_up, mut warming) = (ServerSlowStart::default(), ServerSlowStart::default());
+    slow_start.index(0, &warmed_up, None, true);
+    slow_start.index(1, &warming, Some(now), true);
+    slow_start.record_send(now, &mut warmed_up, 1.0, 2, 100.0);
     let mut sent = 0.0;
-    while slow_start.has_budget(now, &cold, 0.2, 2, 1.0) {
-        slow_start.record_send(now, &mut cold, 0.2, 2, 1.0);
+    while slow_start.has_budget(now, &warming, 0.2, 2, 1.0) {
+        slow_start.record_send(now, &mut warming, 0.2, 2, 1.0);
         sent += 1.0;
     }
     assert_eq!(sent, 20.0);
     let later = now + Span::from_ms(10_000.0);
-    assert!(slow_start.has_budget(later, &cold, 1.0, 2, 1.0), "a warmed-up server has no budget to keep");
+    assert!(slow_start.has_budget(later, &warming, 1.0, 2, 1.0), "a warmed-up server has no budget to keep");
 }
 
 #[test]
