--- a/agent/src/peers/file/tests/earlier_version.rs
+++ b/agent/src/peers/file/tests/earlier_version.rs
@@ -72,19 +72,25 @@
 const LEARNED_AT: u64 = 1_796_207_553_446_406;
 
 fn snapshot_before() -> Snapshot {
-    let server = |id, started, suspect| ServerSnapshot {
+    let server = |id, started, is_ejected| ServerSnapshot {
         server: ServerId(id),
         started,
         limit: 4.5,
-        cut: true,
-        stretch: 1.5,
-        pace: 0.3,
+        was_reduced: true,
+        slowdown: 1.5,
+        latency: 0.3,
         samples: 9,
-        cold_sent: 0.5,
-        suspect,
+        warming_sent: 0.5,
+        is_ejected,
     };
     let servers = vec![server(7, Some(Time(1_700_000_000_123_000)), true), server(8, None, false)];
-    Snapshot { level: 0.5, median: 0.2, class_pace: vec![0.1, 0.25], warm_sent: 2.0, servers }
+    Snapshot {
+        admission_level: 0.5,
+        median_latency: 0.2,
+        class_latencies: vec![0.1, 0.25],
+        warm_sent: 2.0,
+        servers,
+    }
 }
 
 /// A moment soon after the literal files were written.
--- a/agent/src/peers/snapshot.rs
+++ b/agent/src/peers/snapshot.rs
@@ -76,12 +76,12 @@
         StoredServer {
             started_at_us: server.started.map(|at| at.0),
             concurrency_limit: server.limit,
-            is_limit_reduced: server.cut,
-            slowdown: server.stretch,
-            smoothed_latency: server.pace,
+            is_limit_reduced: server.was_reduced,
+            slowdown: server.slowdown,
+            smoothed_latency: server.latency,
             samples: server.samples,
-            warming_up_work: server.cold_sent,
-            is_ejected: server.suspect,
+            warming_up_work: server.warming_sent,
+            is_ejected: server.is_ejected,
         }
     }
 
@@ -90,12 +90,12 @@
             server,
             started: self.started_at_us.map(Time),
             limit: self.concurrency_limit,
-            cut: self.is_limit_reduced,
-            stretch: self.slowdown,
-            pace: self.smoothed_latency,
+            was_reduced: self.is_limit_reduced,
+            slowdown: self.slowdown,
+            latency: self.smoothed_latency,
             samples: self.samples,
-            cold_sent: self.warming_up_work,
-            suspect: self.is_ejected,
+            warming_sent: self.warming_up_work,
+            is_ejected: self.is_ejected,
         }
     }
 }
@@ -105,9 +105,9 @@
     fn restore(self, server_id: impl Fn(&str) -> Option<ServerId>) -> Snapshot {
         let restore = |(name, server): (String, StoredServer)| Some(server.restore(server_id(&name)?));
         Snapshot {
-            level: self.admission_level,
-            median: self.median_latency,
-            class_pace: self.class_latencies,
+            admission_level: self.admission_level,
+            median_latency: self.median_latency,
+            class_latencies: self.class_latencies,
             warm_sent: self.warmed_up_work,
             servers: self.servers.into_iter().filter_map(restore).collect(),
         }
@@ -138,9 +138,9 @@
         form: STORED_FORM,
         owner: owner.clone(),
         taken_at_us: now.wall_us,
-        admission_level: snapshot.level,
-        median_latency: snapshot.median,
-        class_latencies: snapshot.class_pace.clone(),
+        admission_level: snapshot.admission_level,
+        median_latency: snapshot.median_latency,
+        class_latencies: snapshot.class_latencies.clone(),
         warmed_up_work: snapshot.warm_sent,
         servers: snapshot.servers.iter().filter_map(named).collect(),
     };
--- a/agent/src/peers/snapshot/tests.rs
+++ b/agent/src/peers/snapshot/tests.rs
@@ -26,17 +26,17 @@
         server,
         started,
         limit: 4.5,
-        cut: true,
-        stretch: 1.5,
-        pace: 0.3,
+        was_reduced: true,
+        slowdown: 1.5,
+        latency: 0.3,
         samples,
-        cold_sent: 0.5,
-        suspect: true,
+        warming_sent: 0.5,
+        is_ejected: true,
     };
     let snapshot = Snapshot {
-        level: 0.5,
-        median: 0.2,
-        class_pace: vec![0.1],
+        admission_level: 0.5,
+        median_latency: 0.2,
+        class_latencies: vec![0.1],
         warm_sent: 2.0,
         servers: vec![server_snapshot],
     };
@@ -65,8 +65,14 @@
     ClockReading { monotonic: start.monotonic + Duration::from_secs(seconds), wall_us }
 }
 
-fn snapshot_at(level: f64) -> Snapshot {
-    Snapshot { level, median: 0.2, class_pace: vec![0.1], warm_sent: 2.0, servers: Vec::new() }
+fn snapshot_at(admission_level: f64) -> Snapshot {
+    Snapshot {
+        admission_level,
+        median_latency: 0.2,
+        class_latencies: vec![0.1],
+        warm_sent: 2.0,
+        servers: Vec::new(),
+    }
 }
 
 #[test]
--- a/src/fleet/views.rs
+++ b/src/fleet/views.rs
@@ -14,9 +14,9 @@
             self.endpoints.servers().iter().filter(|server| server.is_open).collect();
         snapshot::select_servers(&mut servers, |server| server.relevance());
         Snapshot {
-            level: self.level.value(),
-            median: self.latencies.median(),
-            class_pace: self.latencies.all_usual(),
+            admission_level: self.level.value(),
+            median_latency: self.latencies.median(),
+            class_latencies: self.latencies.all_usual(),
             warm_sent: self.slow_start.warm_sent(now),
             servers: servers.into_iter().map(|server| server.snapshot(now)).collect(),
         }
@@ -52,12 +52,12 @@
         let min_limit = concurrency::min_limit(&self.settings);
         let bounds = SnapshotBounds { min_limit, max_limit: MAX_LIMIT, max_latency: LATE };
         let Some(snapshot) = snapshot.bounded(&bounds) else { return };
-        server.limit.restore(snapshot.limit, snapshot.cut);
-        server.latency = ServerLatency::restored(snapshot.stretch, snapshot.pace, snapshot.samples);
-        if let Some(work) = snapshot.usable_cold_sent() {
+        server.limit.restore(snapshot.limit, snapshot.was_reduced);
+        server.latency = ServerLatency::restored(snapshot.slowdown, snapshot.latency, snapshot.samples);
+        if let Some(work) = snapshot.usable_warming_sent() {
             self.slow_start.restore_sent(now, &mut server.slow_start, work);
         }
-        if snapshot.suspect && !is_sparse {
+        if snapshot.is_ejected && !is_sparse {
             server.health.eject(now);
         }
         self.reindex(slot);
--- a/src/server.rs
+++ b/src/server.rs
@@ -83,12 +83,12 @@
             server: self.endpoint.server,
             started: self.endpoint.started,
             limit: self.limit.value(),
-            cut: self.limit.was_reduced(),
-            stretch: self.latency.slowdown(),
-            pace: self.latency.smoothed(),
+            was_reduced: self.limit.was_reduced(),
+            slowdown: self.latency.slowdown(),
+            latency: self.latency.smoothed(),
             samples: self.latency.samples(),
-            cold_sent: self.slow_start.sent(now),
-            suspect: self.health.is_ejected(),
+            warming_sent: self.slow_start.sent(now),
+            is_ejected: self.health.is_ejected(),
         }
     }
 }
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -15,11 +15,11 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Snapshot {
     /// The admission level: the fraction of all concurrency limits that is in force.
-    pub level: f64,
+    pub admission_level: f64,
     /// The median latency of the fleet as a fraction of the latency objective.
-    pub median: f64,
+    pub median_latency: f64,
     /// The usual latency of each class as a fraction of its latency objective.
-    pub class_pace: Vec<f64>,
+    pub class_latencies: Vec<f64>,
     /// The work that a warmed-up server was sent recently.
     pub warm_sent: f64,
     /// What is known of single servers.
@@ -36,34 +36,35 @@
     /// Its concurrency limit.
     pub limit: f64,
     /// Whether a late response has ever reduced the limit.
-    pub cut: bool,
+    pub was_reduced: bool,
     /// Its latency relative to the usual latency of the class.
-    pub stretch: f64,
+    pub slowdown: f64,
     /// Its latency as a fraction of the latency objective.
-    pub pace: f64,
+    pub latency: f64,
     /// The number of responses that this rests on.
     pub samples: u32,
     /// The work that it was sent recently while it was warming up.
-    pub cold_sent: f64,
+    pub warming_sent: f64,
     /// It is ejected as an outlier.
-    pub suspect: bool,
+    pub is_ejected: bool,
 }
 
 impl Snapshot {
     /// The admission level, if it is usable; `min_level` at least.
     pub(crate) fn usable_level(&self, min_level: f64) -> Option<f64> {
-        is_positive(self.level).then(|| self.level.clamp(min_level, 1.0))
+        is_positive(self.admission_level).then(|| self.admission_level.clamp(min_level, 1.0))
     }
 
     /// The median latency, if it is usable; `max_latency` at most.
     pub(crate) fn usable_median(&self, max_latency: f64) -> Option<f64> {
-        is_positive(self.median).then(|| self.median.clamp(MIN_MEDIAN, max_latency))
+        is_positive(self.median_latency).then(|| self.median_latency.clamp(MIN_MEDIAN, max_latency))
     }
 
     /// The usual latency of each of so many classes, if all are usable; `max_latency` at most.
     pub(crate) fn usable_class_latencies(&self, classes: usize, max_latency: f64) -> Option<Vec<f64>> {
-        let is_usable = self.class_pace.len() == classes && self.class_pace.iter().all(|l| is_positive(*l));
-        is_usable.then(|| self.class_pace.iter().map(|latency| latency.min(max_latency)).collect())
+        let is_usable =
+            self.class_latencies.len() == classes && self.class_latencies.iter().all(|l| is_positive(*l));
+        is_usable.then(|| self.class_latencies.iter().map(|latency| latency.min(max_latency)).collect())
     }
 
     /// The work that a warmed-up server was sent recently, if it is usable.
@@ -75,18 +76,18 @@
 impl ServerSnapshot {
     /// This snapshot of a server within bounds; none if it is not usable.
     pub(crate) fn bounded(mut self, bounds: &SnapshotBounds) -> Option<Self> {
-        if !is_positive(self.limit) || !is_positive(self.stretch) || !self.pace.is_finite() {
+        if !is_positive(self.limit) || !is_positive(self.slowdown) || !self.latency.is_finite() {
             return None;
         }
         self.limit = self.limit.clamp(bounds.min_limit, bounds.max_limit);
-        self.stretch = self.stretch.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
-        self.pace = self.pace.clamp(0.0, bounds.max_latency);
+        self.slowdown = self.slowdown.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
+        self.latency = self.latency.clamp(0.0, bounds.max_latency);
         Some(self)
     }
 
     /// The work that the server was sent while it was warming up, if that is usable.
-    pub(crate) fn usable_cold_sent(&self) -> Option<f64> {
-        is_positive(self.cold_sent).then_some(self.cold_sent)
+    pub(crate) fn usable_warming_sent(&self) -> Option<f64> {
+        is_positive(self.warming_sent).then_some(self.warming_sent)
     }
 }
 
@@ -100,8 +101,8 @@
     pub(crate) max_latency: f64,
 }
 
-/// Of a large fleet those servers that are worth keeping: ejected ones first, then those that have been measured, the
-/// most recent first.
+/// Of a large fleet those servers that a snapshot gains most from: ejected ones first, then those that have been
+/// measured, the most recent first.
 pub(crate) fn select_servers<T>(servers: &mut Vec<T>, relevance: impl Fn(&T) -> ServerRelevance) {
     if servers.len() > MAX_SNAPSHOT_SERVERS {
         servers.select_nth_unstable_by_key(MAX_SNAPSHOT_SERVERS, |server| Reverse(relevance(server)));
--- a/src/snapshot/tests.rs
+++ b/src/snapshot/tests.rs
@@ -8,12 +8,12 @@
         server: ServerId(1),
         started: None,
         limit: 4.0,
-        cut: true,
-        stretch: 1.5,
-        pace: 0.3,
+        was_reduced: true,
+        slowdown: 1.5,
+        latency: 0.3,
         samples: 9,
-        cold_sent: 2.0,
-        suspect: false,
+        warming_sent: 2.0,
+        is_ejected: false,
     }
 }
 
@@ -24,24 +24,24 @@
 
 #[test]
 fn what_lies_beyond_the_bounds_is_restored_within_them() {
-    let extreme = ServerSnapshot { limit: 1e9, stretch: 1e9, pace: 1e9, ..server() };
+    let extreme = ServerSnapshot { limit: 1e9, slowdown: 1e9, latency: 1e9, ..server() };
     let bounded = extreme.bounded(&BOUNDS).expect("usable");
-    assert_eq!((bounded.limit, bounded.stretch, bounded.pace), (100.0, 8.0, 1.0));
-    let low = ServerSnapshot { limit: 1e-9, stretch: 1e-9, pace: -1.0, ..server() };
+    assert_eq!((bounded.limit, bounded.slowdown, bounded.latency), (100.0, 8.0, 1.0));
+    let low = ServerSnapshot { limit: 1e-9, slowdown: 1e-9, latency: -1.0, ..server() };
     let bounded = low.bounded(&BOUNDS).expect("usable");
-    assert_eq!((bounded.limit, bounded.stretch, bounded.pace), (0.1, 0.05, 0.0));
+    assert_eq!((bounded.limit, bounded.slowdown, bounded.latency), (0.1, 0.05, 0.0));
 }
 
 #[test]
 fn implausible_numbers_are_left_out_one_by_one() {
     for value in IMPLAUSIBLE {
         assert_eq!(ServerSnapshot { limit: value, ..server() }.bounded(&BOUNDS), None);
-        assert_eq!(ServerSnapshot { stretch: value, ..server() }.bounded(&BOUNDS), None);
-        assert_eq!(ServerSnapshot { cold_sent: value, ..server() }.usable_cold_sent(), None);
+        assert_eq!(ServerSnapshot { slowdown: value, ..server() }.bounded(&BOUNDS), None);
+        assert_eq!(ServerSnapshot { warming_sent: value, ..server() }.usable_warming_sent(), None);
         let snapshot = Snapshot {
-            level: value,
-            median: value,
-            class_pace: vec![0.2, value],
+            admission_level: value,
+            median_latency: value,
+            class_latencies: vec![0.2, value],
             warm_sent: value,
             servers: Vec::new(),
         };
@@ -50,12 +50,12 @@
         assert_eq!(snapshot.usable_class_latencies(2, 1.0), None);
         assert_eq!(snapshot.usable_warm_sent(), None);
     }
-    assert_eq!(ServerSnapshot { pace: f64::NAN, ..server() }.bounded(&BOUNDS), None);
+    assert_eq!(ServerSnapshot { latency: f64::NAN, ..server() }.bounded(&BOUNDS), None);
 }
 
 #[test]
 fn class_latencies_are_used_only_for_the_same_number_of_classes() {
-    let snapshot = Snapshot { class_pace: vec![0.2, 3.0], ..Snapshot::default() };
+    let snapshot = Snapshot { class_latencies: vec![0.2, 3.0], ..Snapshot::default() };
     assert_eq!(snapshot.usable_class_latencies(2, 1.0), Some(vec![0.2, 1.0]));
     assert_eq!(snapshot.usable_class_latencies(3, 1.0), None);
 }
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -164,7 +164,7 @@
             32 => {
                 let mut snapshot = self.balancer.snapshot(self.now);
                 for server in &mut snapshot.servers {
-                    (server.samples, server.suspect) = (3, self.rng.u32(0..9) == 0);
+                    (server.samples, server.is_ejected) = (3, self.rng.u32(0..9) == 0);
                 }
                 Event::Restore(snapshot)
             }
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -16,7 +16,7 @@
     (0..100).filter(|_| rig.request(0).1.is_some()).count()
 }
 
-fn taught() -> Snapshot {
+fn learned_snapshot() -> Snapshot {
     let mut rig = rig(3);
     for _ in 0..60 {
         let ids: Vec<_> =
@@ -33,21 +33,21 @@
 fn a_balancer_continues_from_a_snapshot_of_another() {
     let fresh = burst(&mut rig(4));
     let mut next = rig(4);
-    next.notify(Event::Restore(taught()));
-    let taught = burst(&mut next);
-    assert!(taught > fresh + 4, "{taught} at once, {fresh} without a snapshot");
+    next.notify(Event::Restore(learned_snapshot()));
+    let restored = burst(&mut next);
+    assert!(restored > fresh + 4, "{restored} at once, {fresh} without a snapshot");
     next.assert_invariants();
 }
 
 #[test]
 fn a_restarted_and_an_ejected_server_are_restored_differently() {
-    let mut lessons = taught();
+    let mut snapshot = learned_snapshot();
     let limit = |rig: &Rig| rig.balancer.snapshot(rig.now).servers[1].limit;
     let mut next = rig(4);
     let before = limit(&next);
-    lessons.servers[1].started = Some(Time(5));
-    lessons.servers[2].suspect = true;
-    next.notify(Event::Restore(lessons));
+    snapshot.servers[1].started = Some(Time(5));
+    snapshot.servers[2].is_ejected = true;
+    next.notify(Event::Restore(snapshot));
     assert_eq!(limit(&next), before, "it was another process");
     assert_eq!(next.balancer.endpoint_counts(next.now).avoided, 1);
 }
@@ -55,15 +55,15 @@
 #[test]
 fn implausible_values_are_not_restored() {
     for odd in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300] {
-        let mut lessons = taught();
-        (lessons.level, lessons.median, lessons.warm_sent) = (odd, odd, odd);
-        lessons.class_pace = vec![odd; 3];
-        for lesson in &mut lessons.servers {
-            (lesson.limit, lesson.stretch, lesson.pace, lesson.cold_sent) = (odd, odd, odd, odd);
+        let mut snapshot = learned_snapshot();
+        (snapshot.admission_level, snapshot.median_latency, snapshot.warm_sent) = (odd, odd, odd);
+        snapshot.class_latencies = vec![odd; 3];
+        for server in &mut snapshot.servers {
+            (server.limit, server.slowdown, server.latency, server.warming_sent) = (odd, odd, odd, odd);
         }
-        lessons.servers[0].server = ServerId(99);
+        snapshot.servers[0].server = ServerId(99);
         let mut next = rig(4);
-        next.notify(Event::Restore(lessons));
+        next.notify(Event::Restore(snapshot));
         for _ in 0..50 {
             assert!(next.request_and_respond(20.0).is_some(), "{odd}");
         }
@@ -84,9 +84,9 @@
         rig.wait(Span::from_ms(1.0));
         rig.respond(id, 0, Outcome::Success, 1.0);
     }
-    let told = rig.balancer.snapshot(rig.now).servers;
-    assert_eq!(told.len(), 1024);
+    let servers = rig.balancer.snapshot(rig.now).servers;
+    assert_eq!(servers.len(), 1024);
     // A thousand sends meet at most so many: all of them must be there.
-    let told: BTreeSet<ServerId> = told.iter().map(|lesson| lesson.server).collect();
-    assert!(met[1000..].iter().all(|server| told.contains(server)));
+    let servers: BTreeSet<ServerId> = servers.iter().map(|server| server.server).collect();
+    assert!(met[1000..].iter().all(|server| servers.contains(server)));
 }
