--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -17,7 +17,7 @@
 mod view;
 
 use crate::config::Config;
-use crate::log::{Log, Tried};
+use crate::log::{FailedAttempt, Log};
 use crate::metrics::{Counts, Metrics};
 use crate::traffic::memory_budget::MemoryBudget;
 use crate::traffic::request_body::BodyEvent;
@@ -153,7 +153,7 @@
     /// Logs the metrics of the last seconds when they are due, with the balancer's summary of its servers.
     fn log_metrics(&self) {
         let mut state = self.state.borrow_mut();
-        if let Some(counts) = state.requests.log.counts(Instant::now(), &self.metrics) {
+        if let Some(counts) = state.requests.log.counts.take_due(Instant::now(), &self.metrics) {
             counts.write(self.upstream.open_connections(), &state.queue.balancer.summary());
         }
     }
@@ -312,14 +312,14 @@
             }
             let is_closed = !requests.is_pending(id.request);
             if !is_closed {
-                let attempt = Tried {
+                let attempt = FailedAttempt {
                     server: label.name.to_owned(),
                     zone: label.zone.to_owned(),
                     outcome: ended.outcome,
                     status: ended.status,
-                    idled: ended.connection_idle,
-                    why: ended.error.map(|error| error.to_string()),
-                    took: elapsed,
+                    connection_idle: ended.connection_idle,
+                    error: ended.error.map(|error| error.to_string()),
+                    elapsed,
                 };
                 requests.record_failed_attempt(id.request, attempt);
             }
@@ -339,7 +339,7 @@
     fn record_aborted_response(self: &Rc<Self>, server: ServerId) {
         {
             let State { requests, servers, .. } = &mut *self.state.borrow_mut();
-            if requests.log.has_capacity(Instant::now()) {
+            if requests.log.request_lines.admit_line(Instant::now()) {
                 let (name, zone) = (servers.name(server), servers.zone(server));
                 tracing::warn!(target: "request", server = name, zone, "an answer broke off on its way to the client");
             }
--- a/agent/src/driver/requests.rs
+++ b/agent/src/driver/requests.rs
@@ -3,7 +3,7 @@
 
 use super::arrival::Arrival;
 use super::attempts::{AttemptId, InFlightAttempts};
-use crate::log::{self, Log, Tried};
+use crate::log::{describe_attempts, FailedAttempt, Log};
 use crate::metrics::{End, Taken};
 use crate::traffic::request_body::BodyEvent;
 use crate::upstream::attempt::AttemptProgress;
@@ -35,7 +35,7 @@
     metrics: Taken,
     last_attempt_timed_out: bool,
     /// Attempts without a served answer, for the log.
-    failed_attempts: Vec<Tried>,
+    failed_attempts: Vec<FailedAttempt>,
 }
 
 impl PendingRequest {
@@ -114,7 +114,7 @@
     }
 
     /// Records an attempt without a served answer for its request, if that is pending.
-    pub fn record_failed_attempt(&mut self, request: RequestId, attempt: Tried) {
+    pub fn record_failed_attempt(&mut self, request: RequestId, attempt: FailedAttempt) {
         let Some(pending) = self.pending.get_mut(&request) else { return };
         pending.last_attempt_timed_out = attempt.outcome == balancer::Outcome::TimedOut;
         pending.failed_attempts.push(attempt);
@@ -190,7 +190,9 @@
         let now = Instant::now();
         let PendingRequest { arrival, metrics, failed_attempts, .. } = request;
         // One that was served is logged only after an attempt that failed.
-        if (matches!(end, End::Served) && failed_attempts.is_empty()) || !self.log.has_capacity(now) {
+        if (matches!(end, End::Served) && failed_attempts.is_empty())
+            || !self.log.request_lines.admit_line(now)
+        {
             return;
         }
         let server = served_by.unwrap_or_else(|| match failed_attempts.last() {
@@ -212,7 +214,7 @@
                     took_ms,
                     of_ms,
                     sent = metrics.sends,
-                    tried = log::attempts(failed_attempts),
+                    tried = describe_attempts(failed_attempts),
                     $outcome
                 )
             };
@@ -227,9 +229,9 @@
 
     /// Logs a request that was invalid and has been answered so with this status.
     pub fn log_invalid(&mut self, request: &str, status: StatusCode, reason: &str) {
-        if self.log.has_capacity(Instant::now()) {
+        if self.log.request_lines.admit_line(Instant::now()) {
             let status = status.as_u16();
-            tracing::warn!(target: "request", request = format_args!("{request:.64}"), outcome = "turned_away", status, "{reason}");
+            tracing::warn!(target: "request", request = format_args!("{request:.64}"), outcome = "turned away", status, "{reason}");
         }
     }
 }
--- a/agent/src/process/startup.rs
+++ b/agent/src/process/startup.rs
@@ -4,7 +4,7 @@
 use crate::config::fleet::error::FleetFileError;
 use crate::config::fleet::Fleet;
 use crate::config::Config;
-use crate::log::{self, LogError};
+use crate::log::{LogError, LogFormat};
 use crate::peers::listener::{self, InheritedListenerError};
 use std::net::TcpListener;
 use std::path::PathBuf;
@@ -22,7 +22,7 @@
     /// The fleet file, if there is one.
     pub fleet: Option<Fleet>,
     /// How the log is written.
-    pub log_format: log::Form,
+    pub log_format: LogFormat,
 }
 
 /// Why a process cannot start.
@@ -54,7 +54,7 @@
         let config = Config::load(&variable)?;
         let fleet_path = variable(FLEET_VARIABLE).filter(|path| !path.is_empty()).map(PathBuf::from);
         let fleet = fleet_path.map(|path| Fleet::read(&path, &config.names)).transpose()?;
-        let log_format = log::Form::read(&variable)?;
+        let log_format = LogFormat::read(&variable)?;
         Ok(Startup { inherited_listener, config, fleet, log_format })
     }
 }
--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -5,12 +5,17 @@
 
 /// Each layer of `src`, the lowest first; a file may use what stands before its own layer, and its own folder's files
 /// that stand before it.
-const LAYERS: [&str; 80] = [
+const LAYERS: [&str; 85] = [
     "endpoint_list/entry",
     "endpoint_list/reader",
     "endpoint_list",
     "admin_api",
     "metrics",
+    "log/left_out",
+    "log/writer",
+    "log/rate_limit",
+    "log/requests",
+    "log/counts",
     "log",
     "config/fleet/contents",
     "config/fleet/error",
