--- a/agent/src/admin/service.rs
+++ b/agent/src/admin/service.rs
@@ -4,7 +4,7 @@
 use crate::admin::snapshots::{SharedFolder, Snapshots};
 use crate::admin_api::{Counters, Renderers, Zone, Zones, MAX_RENDERERS, MAX_ZONES};
 use crate::driver::Driver;
-use crate::metrics::{self, Attempts};
+use crate::metrics::{self, AttemptCounts};
 use crate::peers::clock_reading::ClockReading;
 use crate::peers::command::Target;
 use crate::peers::cordons::Cordons;
@@ -106,7 +106,7 @@
     fn zone_sums(&self) -> BTreeMap<String, Zone> {
         let mut zones: BTreeMap<String, Zone> = BTreeMap::new();
         for (zone, attempts) in self.driver.view().removed_attempts_by_zone() {
-            let Attempts { sends, answered, failed, rejected } = attempts;
+            let AttemptCounts { sends, answered, failed, rejected } = attempts;
             zones.insert(zone, Zone { sends, answered, failed, rejected, ..Zone::default() });
         }
         for renderer in self.driver.view().renderers() {
--- a/agent/src/driver/endpoint_updates.rs
+++ b/agent/src/driver/endpoint_updates.rs
@@ -66,7 +66,7 @@
 pub fn forget_removed_servers(servers: &mut Servers, upstream: &UpstreamClient, metrics: &Metrics) {
     while let Some(forgotten) = servers.forget_oldest_removed() {
         upstream.remove_endpoint(forgotten.server);
-        if let Some(attempts) = metrics.forget(forgotten.server) {
+        if let Some(attempts) = metrics.forget_server(forgotten.server) {
             servers.add_removed_attempts(&forgotten.zone, &attempts);
         }
     }
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -221,11 +221,11 @@
             uploading: arrival.intake().is_some(),
         };
         let metrics = match arrival.intake() {
-            None => self.metrics.take(arrival.class.0),
+            None => self.metrics.begin_request(arrival.class.0),
             Some(intake) => {
                 let driver = self.clone();
                 intake.set_listener(move |body_event| driver.record_body_progress(id, body_event));
-                self.metrics.upload(arrival.class.0)
+                self.metrics.begin_upload(arrival.class.0)
             }
         };
         let pending = PendingRequest::new(Rc::new(arrival), answer, metrics);
@@ -253,7 +253,7 @@
 
     /// Counts and logs a request that was invalid and has been answered so with this status.
     pub fn record_invalid_request(&self, request: &str, status: StatusCode, reason: &str) {
-        self.metrics.bad();
+        self.metrics.record_invalid_request();
         self.state.borrow_mut().requests.log_invalid(request, status, reason);
     }
 
@@ -300,7 +300,7 @@
             // What its client has not sent completely is no request, and there is nothing to decide any more.
             self.abandon(id.request);
         }
-        self.metrics.attempt(server, ended.outcome);
+        self.metrics.record_attempt(server, ended.outcome);
         let is_closed = {
             let State { requests, servers, .. } = &mut *self.state.borrow_mut();
             requests.attempts.end(id);
@@ -441,7 +441,7 @@
 
     /// All counts since the start.
     pub fn counts(&self) -> Counts {
-        self.metrics.now()
+        self.metrics.counts()
     }
 
     /// What the balancer knows now, by name. Nothing can happen while this is held.
--- a/agent/src/driver/requests.rs
+++ b/agent/src/driver/requests.rs
@@ -4,7 +4,7 @@
 use super::arrival::Arrival;
 use super::attempts::{AttemptId, InFlightAttempts};
 use crate::log::{describe_attempts, FailedAttempt, Log};
-use crate::metrics::{End, Taken};
+use crate::metrics::{RequestEnd, RequestMetrics};
 use crate::traffic::request_body::BodyEvent;
 use crate::upstream::attempt::AttemptProgress;
 use crate::upstream::exchange::ServedResponse;
@@ -32,7 +32,7 @@
     answer: oneshot::Sender<Answer>,
     /// What the application sent.
     pub arrival: Rc<Arrival>,
-    metrics: Taken,
+    metrics: RequestMetrics,
     last_attempt_timed_out: bool,
     /// Attempts without a served answer, for the log.
     failed_attempts: Vec<FailedAttempt>,
@@ -40,7 +40,7 @@
 
 impl PendingRequest {
     /// A request without attempts whose answer goes to `answer` and whose end is counted by `metrics`.
-    pub fn new(arrival: Rc<Arrival>, answer: oneshot::Sender<Answer>, metrics: Taken) -> Self {
+    pub fn new(arrival: Rc<Arrival>, answer: oneshot::Sender<Answer>, metrics: RequestMetrics) -> Self {
         let (last_attempt_timed_out, failed_attempts) = Default::default();
         PendingRequest { answer, arrival, metrics, last_attempt_timed_out, failed_attempts }
     }
@@ -107,8 +107,8 @@
     /// Adds an attempt at a request, if that is pending.
     pub fn begin_attempt(&mut self, request: RequestId) -> Option<NewAttempt> {
         let pending = self.pending.get_mut(&request)?;
-        let id = AttemptId { request, number: AttemptNo(pending.metrics.sends) };
-        pending.metrics.sends += 1;
+        let id = AttemptId { request, number: AttemptNo(pending.metrics.attempts) };
+        pending.metrics.attempts += 1;
         let arrival = pending.arrival.clone();
         Some(NewAttempt { id, arrival, progress: self.attempts.begin(id) })
     }
@@ -126,7 +126,7 @@
         Some(match body_event {
             BodyEvent::Consumed => Event::BodyConsumed { request: id },
             BodyEvent::Complete => {
-                pending.metrics.whole();
+                pending.metrics.mark_arrived();
                 let complete_at = pending.arrival.intake().and_then(|intake| intake.completed_at());
                 let elapsed = complete_at.map_or(Duration::ZERO, |complete_at| complete_at.elapsed());
                 let time_left = pending.arrival.wait().saturating_sub(elapsed);
@@ -138,23 +138,23 @@
     /// Gives a request up as its client has disconnected; whether it was still owed an answer.
     pub fn abandon(&mut self, id: RequestId, names: &Names) -> bool {
         let Some(request) = self.remove(id) else { return false };
-        self.log_end(&request, End::Gone, names, None);
+        self.log_end(&request, RequestEnd::Abandoned, names, None);
         true
     }
 
     /// Answers a request with the balancer's rejection; a retry makes sense after `retry_after`.
     pub fn reject(&mut self, id: RequestId, retry_after: Option<Span>, names: &Names) {
-        self.answer(id, Answer::Rejected(retry_after), End::Refused, names);
+        self.answer(id, Answer::Rejected(retry_after), RequestEnd::Rejected, names);
     }
 
     /// Answers a request with its failure: 504 if its last attempt timed out, otherwise 502.
     pub fn fail(&mut self, id: RequestId, names: &Names) {
         let timed_out = self.pending.get(&id).is_some_and(|request| request.last_attempt_timed_out);
         let status = if timed_out { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-        self.answer(id, Answer::Failed(status), End::Failed, names);
+        self.answer(id, Answer::Failed(status), RequestEnd::Failed, names);
     }
 
-    fn answer(&mut self, id: RequestId, answer: Answer, end: End, names: &Names) {
+    fn answer(&mut self, id: RequestId, answer: Answer, end: RequestEnd, names: &Names) {
         let Some(request) = self.remove(id) else { return };
         self.log_end(&request, end, names, None);
         request.metrics.end(end);
@@ -172,7 +172,7 @@
         server: ServerLabel,
     ) {
         let Some(request) = self.remove(id) else { return };
-        self.log_end(&request, End::Served, names, Some(server));
+        self.log_end(&request, RequestEnd::Served, names, Some(server));
         served.body.end_request_with(request.metrics, on_abort);
         let _ = request.answer.send(Answer::Served(Box::new(served)));
     }
@@ -180,17 +180,23 @@
     /// Removes a request that is about to end; its unwritten attempts are cancelled.
     fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
         let request = self.pending.remove(&id)?;
-        self.attempts.cancel_unwritten(id, request.metrics.sends);
+        self.attempts.cancel_unwritten(id, request.metrics.attempts);
         Some(request)
     }
 
     /// Logs a request that did not go well under the application's name for it; `served_by` is the server whose answer
     /// it got.
-    fn log_end(&mut self, request: &PendingRequest, end: End, names: &Names, served_by: Option<ServerLabel>) {
+    fn log_end(
+        &mut self,
+        request: &PendingRequest,
+        end: RequestEnd,
+        names: &Names,
+        served_by: Option<ServerLabel>,
+    ) {
         let now = Instant::now();
         let PendingRequest { arrival, metrics, failed_attempts, .. } = request;
         // One that was served is logged only after an attempt that failed.
-        if (matches!(end, End::Served) && failed_attempts.is_empty())
+        if (matches!(end, RequestEnd::Served) && failed_attempts.is_empty())
             || !self.log.request_lines.admit_line(now)
         {
             return;
@@ -213,17 +219,17 @@
                     zone = server.zone,
                     took_ms,
                     of_ms,
-                    sent = metrics.sends,
+                    sent = metrics.attempts,
                     tried = describe_attempts(failed_attempts),
                     $outcome
                 )
             };
         }
         match end {
-            End::Served => line!(info, "served"),
-            End::Refused => line!(warn, "refused"),
-            End::Failed => line!(warn, "failed"),
-            End::Gone => line!(warn, "gone"),
+            RequestEnd::Served => line!(info, "served"),
+            RequestEnd::Rejected => line!(warn, "refused"),
+            RequestEnd::Failed => line!(warn, "failed"),
+            RequestEnd::Abandoned => line!(warn, "gone"),
         }
     }
 
--- a/agent/src/driver/servers.rs
+++ b/agent/src/driver/servers.rs
@@ -7,7 +7,7 @@
 use super::clock::WallClock;
 use super::known_server::{endpoint, unix_time, KnownServer, ListedServer};
 use crate::endpoint_list::{Envelope, Health, Host, InvalidEntry, List};
-use crate::metrics::Attempts;
+use crate::metrics::AttemptCounts;
 use balancer::{Endpoint, ServerId, Status, Time, ZoneId};
 use balancer_settings::{fnv1a, Names};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -61,7 +61,7 @@
     /// The names of the zones in which servers are or were.
     zones: BTreeMap<ZoneId, String>,
     /// The attempts at forgotten servers, by zone.
-    forgotten_attempts: BTreeMap<String, Attempts>,
+    forgotten_attempts: BTreeMap<String, AttemptCounts>,
     /// Removed servers, the first removed first: attempts may still be in flight there, and logs name them.
     removed: VecDeque<ServerId>,
     /// Servers that an operator has named: their numbers stand for the operator's commands.
@@ -155,7 +155,7 @@
     }
 
     /// Adds the attempts at a forgotten server to those of its zone.
-    pub fn add_removed_attempts(&mut self, zone: &str, attempts: &Attempts) {
+    pub fn add_removed_attempts(&mut self, zone: &str, attempts: &AttemptCounts) {
         let has_capacity =
             self.forgotten_attempts.len() < MAX_ZONES || self.forgotten_attempts.contains_key(zone);
         let zone = if has_capacity { zone.to_owned() } else { String::new() };
@@ -166,8 +166,8 @@
     /// are in `attempts`.
     pub fn removed_attempts_by_zone(
         &self,
-        attempts: &HashMap<ServerId, Attempts>,
-    ) -> BTreeMap<String, Attempts> {
+        attempts: &HashMap<ServerId, AttemptCounts>,
+    ) -> BTreeMap<String, AttemptCounts> {
         let mut by_zone = self.forgotten_attempts.clone();
         let is_removed = |server| self.known.get(server).is_some_and(KnownServer::is_removed);
         for (server, attempts) in attempts.iter().filter(|(server, _)| is_removed(*server)) {
--- a/agent/src/driver/view.rs
+++ b/agent/src/driver/view.rs
@@ -3,7 +3,7 @@
 use super::servers::Servers;
 use super::state::State;
 use crate::admin_api::{Renderer, ZonePhase, ZonePhases};
-use crate::metrics::{Attempts, Metrics};
+use crate::metrics::{AttemptCounts, Metrics};
 use balancer::{EndpointCounts, ServerId, ServerView, Snapshot, Status, Time};
 use balancer_settings::Names;
 use std::cell::Ref;
@@ -30,7 +30,7 @@
 
     /// The balancer's view of each server on the endpoint list with the attempts at it, sorted by name.
     pub fn renderers(&self) -> Vec<Renderer> {
-        let attempts = self.metrics.by_server();
+        let attempts = self.metrics.attempts_by_server();
         let renderer = |view: ServerView| {
             let attempts = attempts.get(&view.server).copied().unwrap_or_default();
             renderer(&view, &self.state.servers, &attempts)
@@ -42,8 +42,8 @@
     }
 
     /// The attempts at servers that were removed from the endpoint list, by zone.
-    pub fn removed_attempts_by_zone(&self) -> BTreeMap<String, Attempts> {
-        self.state.servers.removed_attempts_by_zone(&self.metrics.by_server())
+    pub fn removed_attempts_by_zone(&self) -> BTreeMap<String, AttemptCounts> {
+        self.state.servers.removed_attempts_by_zone(&self.metrics.attempts_by_server())
     }
 
     /// How the balancer uses each zone of the endpoint list, by the zone's name: for all classes, and for the classes
@@ -105,7 +105,7 @@
     }
 }
 
-fn renderer(view: &ServerView, servers: &Servers, attempts: &Attempts) -> Renderer {
+fn renderer(view: &ServerView, servers: &Servers, attempts: &AttemptCounts) -> Renderer {
     Renderer {
         id: servers.name(view.server).to_owned(),
         zone: servers.zone(view.server).to_owned(),
--- a/agent/src/log/counts.rs
+++ b/agent/src/log/counts.rs
@@ -1,7 +1,7 @@
 //! The regular line on how the metrics have moved.
 
 use super::left_out;
-use crate::metrics::{Counts, Ends, Metrics, OUTCOMES};
+use crate::metrics::{Counts, EndCounts, Metrics, OUTCOMES};
 use balancer::Outcome;
 use std::fmt::Write;
 use tokio::time::{Duration, Instant};
@@ -38,11 +38,12 @@
         if now.saturating_duration_since(self.last_due_at) < COUNTS_INTERVAL {
             return None;
         }
-        let counts = metrics.now();
+        let counts = metrics.counts();
         let before = std::mem::replace(&mut self.last_counts, counts.clone());
         self.last_due_at = now;
-        let has_moved =
-            counts.taken > before.taken || counts.bad > before.bad || counts.outcomes != before.outcomes;
+        let has_moved = counts.arrived > before.arrived
+            || counts.invalid > before.invalid
+            || counts.outcomes != before.outcomes;
         has_moved.then_some(CountsDelta { counts, before })
     }
 }
@@ -61,19 +62,19 @@
 
     fn write_line(&self, left_out: u64, connections: usize, summary: &str) {
         let CountsDelta { counts, before } = self;
-        let total = |kind: fn(&Ends) -> u64| counts.total(kind) - before.total(kind);
-        let rejected = total(|ends| ends.refused);
-        let rejected_unsent = counts.refused_unsent - before.refused_unsent;
-        let abandoned = counts.gone - before.gone;
+        let total = |kind: fn(&EndCounts) -> u64| counts.total(kind) - before.total(kind);
+        let rejected = total(|ends| ends.rejected);
+        let rejected_unsent = counts.rejected_unsent - before.rejected_unsent;
+        let abandoned = counts.abandoned - before.abandoned;
         tracing::info!(
             target: "counts",
-            arrived = counts.taken - before.taken,
+            arrived = counts.arrived - before.arrived,
             served = total(|ends| ends.served),
             refused_unsent = rejected_unsent,
             refused_tried = rejected - rejected_unsent,
             failed = total(|ends| ends.failed) - abandoned,
             gone = abandoned,
-            turned_away = counts.bad - before.bad,
+            turned_away = counts.invalid - before.invalid,
             sent_whole = counts.sends - before.sends,
             attempts = self.describe_outcomes(),
             left_out,
--- a/agent/src/traffic/response_body.rs
+++ b/agent/src/traffic/response_body.rs
@@ -1,6 +1,6 @@
 //! The body of a response on its way to the client.
 
-use crate::metrics::{End, Taken};
+use crate::metrics::{RequestEnd, RequestMetrics};
 use crate::traffic::body_deadline::STALL_TIMEOUT;
 use crate::traffic::connection_timer::ActiveRequest;
 use crate::traffic::memory_budget::MemoryReservation;
@@ -31,7 +31,7 @@
     /// Its connection is used again after a complete response and ends with a broken one.
     return_connection: ReturnConnection,
     /// The metrics of its request, which ends with it.
-    taken: Option<Taken>,
+    metrics: Option<RequestMetrics>,
     /// Called if it breaks off.
     on_abort: Option<Box<dyn FnOnce()>>,
     stall: Pin<Box<Sleep>>,
@@ -52,7 +52,7 @@
         reservation: MemoryReservation,
     ) -> Self {
         let stall = Box::pin(sleep(STALL_TIMEOUT));
-        let stream = ResponseStream { body, return_connection, taken: None, on_abort: None, stall };
+        let stream = ResponseStream { body, return_connection, metrics: None, on_abort: None, stall };
         ResponseBody { buffered, stream: Some(stream), _reservation: Some(reservation), request: None }
     }
 
@@ -70,24 +70,24 @@
     }
 
     /// Ends the request in the metrics with this body; `on_abort` is called if that breaks off.
-    pub fn end_request_with(&mut self, taken: Taken, on_abort: impl FnOnce() + 'static) {
+    pub fn end_request_with(&mut self, metrics: RequestMetrics, on_abort: impl FnOnce() + 'static) {
         match &mut self.stream {
-            None => taken.end(End::Served),
+            None => metrics.end(RequestEnd::Served),
             Some(stream) => {
-                stream.taken = Some(taken);
+                stream.metrics = Some(metrics);
                 stream.on_abort = Some(Box::new(on_abort));
             }
         }
     }
 
-    fn finish(&mut self, end: End) {
+    fn finish(&mut self, end: RequestEnd) {
         let Some(stream) = self.stream.take() else { return };
-        if let Some(taken) = stream.taken {
-            taken.end(end);
+        if let Some(metrics) = stream.metrics {
+            metrics.end(end);
         }
         match end {
-            End::Served => (stream.return_connection)(),
-            End::Refused | End::Failed | End::Gone => {
+            RequestEnd::Served => (stream.return_connection)(),
+            RequestEnd::Rejected | RequestEnd::Failed | RequestEnd::Abandoned => {
                 stream.on_abort.into_iter().for_each(|on_abort| on_abort());
             }
         }
@@ -112,20 +112,20 @@
                 stream.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
                 // Past the last byte of a known length, or past trailers, nobody polls for more.
                 if stream.body.is_end_stream() || frame.is_trailers() {
-                    this.finish(End::Served);
+                    this.finish(RequestEnd::Served);
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(error))) => {
-                this.finish(End::Failed);
+                this.finish(RequestEnd::Failed);
                 Poll::Ready(Some(Err(io::Error::other(error))))
             }
             Poll::Ready(None) => {
-                this.finish(End::Served);
+                this.finish(RequestEnd::Served);
                 Poll::Ready(None)
             }
             Poll::Pending if stream.stall.as_mut().poll(cx).is_ready() => {
-                this.finish(End::Failed);
+                this.finish(RequestEnd::Failed);
                 Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())))
             }
             Poll::Pending => Poll::Pending,
--- a/agent/src/upstream/write_counter.rs
+++ b/agent/src/upstream/write_counter.rs
@@ -54,7 +54,7 @@
         self.written.set(written);
         let sent = self.unsent_request.borrow_mut().take_if(|request| is_reached(&request.end, written));
         if let Some(UnsentRequest { server, metrics, .. }) = sent {
-            metrics.sent(server);
+            metrics.record_send(server);
         }
     }
 
