--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -17,7 +17,7 @@
 mod view;
 
 use crate::config::Config;
-use crate::log::{Log, Tried};
+use crate::log::{FailedAttempt, Log};
 use crate::metrics::{Counts, Metrics};
 use crate::traffic::memory_budget::MemoryBudget;
 use crate::traffic::request_body::BodyEvent;
@@ -153,7 +153,7 @@
     /// Logs the metrics of the last seconds when they are due, with the balancer's summary of its servers.
     fn log_metrics(&self) {
         let mut state = self.state.borrow_mut();
-        if let Some(counts) = state.requests.log.counts(Instant::now(), &self.metrics) {
+        if let Some(counts) = state.requests.log.counts.take_due(Instant::now(), &self.metrics) {
             counts.write(self.upstream.open_connections(), &state.queue.balancer.summary());
         }
     }
@@ -221,11 +221,11 @@
             uploading: arrival.intake().is_some(),
         };
         let metrics = match arrival.intake() {
-            None => self.metrics.take(arrival.class.0),
+            None => self.metrics.begin_request(arrival.class.0),
             Some(intake) => {
                 let driver = self.clone();
                 intake.set_listener(move |body_event| driver.record_body_progress(id, body_event));
-                self.metrics.upload(arrival.class.0)
+                self.metrics.begin_upload(arrival.class.0)
             }
         };
         let pending = PendingRequest::new(Rc::new(arrival), answer, metrics);
@@ -253,7 +253,7 @@
 
     /// Counts and logs a request that was invalid and has been answered so with this status.
     pub fn record_invalid_request(&self, request: &str, status: StatusCode, reason: &str) {
-        self.metrics.bad();
+        self.metrics.record_invalid_request();
         self.state.borrow_mut().requests.log_invalid(request, status, reason);
     }
 
@@ -300,7 +300,7 @@
             // What its client has not sent completely is no request, and there is nothing to decide any more.
             self.abandon(id.request);
         }
-        self.metrics.attempt(server, ended.outcome);
+        self.metrics.record_attempt(server, ended.outcome);
         let is_closed = {
             let State { requests, servers, .. } = &mut *self.state.borrow_mut();
             requests.attempts.end(id);
@@ -312,14 +312,14 @@
             }
             let is_closed = !requests.is_pending(id.request);
             if !is_closed {
-                let attempt = Tried {
+                let attempt = FailedAttempt {
                     server: label.name.to_owned(),
                     zone: label.zone.to_owned(),
                     outcome: ended.outcome,
                     status: ended.status,
-                    idled: ended.connection_idle,
-                    why: ended.error.map(|error| error.to_string()),
-                    took: elapsed,
+                    connection_idle: ended.connection_idle,
+                    error: ended.error.map(|error| error.to_string()),
+                    elapsed,
                 };
                 requests.record_failed_attempt(id.request, attempt);
             }
@@ -339,7 +339,7 @@
     fn record_aborted_response(self: &Rc<Self>, server: ServerId) {
         {
             let State { requests, servers, .. } = &mut *self.state.borrow_mut();
-            if requests.log.has_capacity(Instant::now()) {
+            if requests.log.request_lines.admit_line(Instant::now()) {
                 let (name, zone) = (servers.name(server), servers.zone(server));
                 tracing::warn!(target: "request", server = name, zone, "an answer broke off on its way to the client");
             }
@@ -441,7 +441,7 @@
 
     /// All counts since the start.
     pub fn counts(&self) -> Counts {
-        self.metrics.now()
+        self.metrics.counts()
     }
 
     /// What the balancer knows now, by name. Nothing can happen while this is held.
