--- a/agent/src/application/mod.rs
+++ /dev/null
@@ -1,3 +0,0 @@
-//! What the application beside the agent connects to.
-
-pub mod server;
--- a/agent/src/main.rs
+++ b/agent/src/main.rs
@@ -1,7 +1,7 @@
-//! The program; what it can do is [`bellcroft::cli`]'s to say.
+//! The program, whose command line is in [`balancer_agent::cli`].
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    bellcroft::cli::run(std::env::args_os())
+    balancer_agent::cli::run(std::env::args_os())
 }
--- a/control/src/main.rs
+++ b/control/src/main.rs
@@ -1,16 +1,20 @@
-//! The program; what it can do is [`bellctl::run`]'s to say.
+//! The program `balancerctl`; see [`balancerctl::run`].
 
+use balancerctl::ExitStatus;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(why) => {
-            eprintln!("bellctl: cannot start: {why}");
-            return ExitCode::from(bellctl::WRONG_USE);
+        Err(error) => {
+            eprintln!("balancerctl: cannot start: {error}");
+            return ExitStatus::UsageError.into();
         }
     };
-    let code =
-        runtime.block_on(bellctl::run(std::env::args_os(), &mut std::io::stdout(), &mut std::io::stderr()));
-    ExitCode::from(code)
+    let status = runtime.block_on(balancerctl::run(
+        std::env::args_os(),
+        &mut std::io::stdout(),
+        &mut std::io::stderr(),
+    ));
+    status.into()
 }
--- a/tests/memory_does_not_grow.rs
+++ b/tests/memory_does_not_grow.rs
@@ -1,23 +1,23 @@
 //! Guards against records that outlive their requests: memory must not grow with requests served.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
-/// Resident memory of this process in KiB; `None` where the system does not tell.
+/// Resident memory of this process in KiB; `None` where the system does not say.
 fn resident() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
     text.lines().find(|l| l.starts_with("VmRSS"))?.split_whitespace().nth(1)?.parse().ok()
 }
 
 #[test]
-fn many_requests_leave_nothing_behind() {
+fn many_requests_leave_no_memory_in_use() {
     let settings =
-        Settings { classes: vec![class(Effect::Idempotent)], warm_keys: true, ..Settings::default() };
+        Settings { classes: vec![class(Idempotency::Idempotent)], key_affinity: true, ..Settings::default() };
     let mut balancer = Balancer::new(settings, 1).unwrap();
     let mut actions = Vec::new();
     let mut now = Time::from_ms(1000.0);
     balancer.start(now, &mut actions);
-    balancer.handle(now, Event::List(ListUpdate::Complete(fleet(6, 2, 2))), &mut actions);
+    balancer.handle(now, Event::Endpoints(EndpointUpdate::Complete(fleet(6, 2, 2))), &mut actions);
     let mut serve = |from: u64, count: u64| {
         for id in from..from + count {
             now = now + Span::from_ms(5.0);
--- a/tests/random_walk.rs
+++ b/tests/random_walk.rs
@@ -1,29 +1,29 @@
 //! Guards the four rules on event orders that nobody thought of, and that equal events give equal actions.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 use std::collections::BTreeMap;
 
 fn settings(pick: u64) -> Settings {
     Settings {
         balancers: 1 + (pick % 7) as u32,
         classes: vec![
-            class(Effect::Idempotent),
-            class(Effect::AtMostOnce),
-            class(keyed(Group::All, 300.0)),
-            class(keyed(Group::Zone, 200.0)),
-            class(keyed(Group::Cell, 600.0)),
-            Class { late_worth: 0.3, stream: true, ..class(Effect::Idempotent) },
+            class(Idempotency::Idempotent),
+            class(Idempotency::AtMostOnce),
+            class(deduplicated(DeduplicationScope::All, 300.0)),
+            class(deduplicated(DeduplicationScope::Zone, 200.0)),
+            class(deduplicated(DeduplicationScope::Cell, 600.0)),
+            Class { late_weight: 0.3, stream: true, ..class(Idempotency::Idempotent) },
         ],
-        second_copies: pick % 2 == 0,
+        hedging: pick % 2 == 0,
         cancel: pick % 3 != 0,
         retry_after: pick % 5 == 0,
         probes: pick % 4 == 0,
-        report_source: if pick % 3 == 0 { ReportSource::None } else { ReportSource::Answers },
+        report_source: if pick % 3 == 0 { ReportSource::None } else { ReportSource::Responses },
         report_fields: vec![ReportField::InFlight, ReportField::ServiceTime],
-        discovery: if pick % 2 == 1 { Discovery::OnRequest } else { Discovery::Pushed },
-        cold_share: 0.2,
-        warm_after: Span::from_ms(4000.0),
+        discovery: if pick % 2 == 1 { Discovery::Polled } else { Discovery::Pushed },
+        initial_capacity: 0.2,
+        warm_up_time: Span::from_ms(4000.0),
         ..Settings::default()
     }
 }
@@ -46,7 +46,7 @@
     let mut out: Vec<Out> = Vec::new();
     let mut attempts: BTreeMap<RequestId, u32> = BTreeMap::new();
     let mut said = Vec::new();
-    rig.tell(Event::List(ListUpdate::Saved(lines.clone())));
+    rig.notify(Event::Endpoints(EndpointUpdate::Saved(lines.clone())));
     for step in 0..steps {
         let mut actions = Vec::new();
         match rng.u32(0..100) {
@@ -56,7 +56,7 @@
                 let mut request = Request::new(RequestId(u64::from(step)), ClassId(class), left);
                 request.key = rng.bool().then(|| KeyId(rng.u64(0..5)));
                 request.cost_hint = rng.bool().then(|| Span::from_ms(rng.f64() * 80.0));
-                actions.extend_from_slice(rig.tell(Event::Request(request)));
+                actions.extend_from_slice(rig.notify(Event::Request(request)));
             }
             40..=79 if !out.is_empty() => {
                 let o = out.swap_remove(rng.usize(0..out.len()));
@@ -72,7 +72,7 @@
                 let report =
                     rng.bool().then(|| vec![rng.f64() * 9.0, [f64::NAN, -4.0, 30.0][rng.usize(0..3)]]);
                 let closed = outcome == Outcome::Success || o.streaming;
-                actions.extend_from_slice(rig.tell(Event::Outcome {
+                actions.extend_from_slice(rig.notify(Event::Outcome {
                     request: o.request,
                     attempt: AttemptNo(o.attempt),
                     outcome,
@@ -86,11 +86,11 @@
                 let o = &mut out[i];
                 o.streaming = true;
                 let event = Event::FirstByte { request: o.request, attempt: AttemptNo(o.attempt) };
-                actions.extend_from_slice(rig.tell(event));
+                actions.extend_from_slice(rig.notify(event));
             }
             84..=86 => {
                 let request = RequestId(u64::from(rng.u32(0..step + 1)));
-                actions.extend_from_slice(rig.tell(Event::ClientGone { request }));
+                actions.extend_from_slice(rig.notify(Event::ClientDisconnected { request }));
             }
             87..=90 => {
                 let i = rng.usize(0..lines.len());
@@ -100,18 +100,18 @@
                     lines[i].started = Some(rig.now);
                 }
                 let update = match rng.u32(0..6) {
-                    0 => ListUpdate::Failed,
-                    1 => ListUpdate::Complete(lines.clone()),
-                    _ => ListUpdate::Changes(vec![lines[i].clone()]),
+                    0 => EndpointUpdate::Failed,
+                    1 => EndpointUpdate::Complete(lines.clone()),
+                    _ => EndpointUpdate::Changes(vec![lines[i].clone()]),
                 };
-                actions.extend_from_slice(rig.tell(Event::List(update)));
+                actions.extend_from_slice(rig.notify(Event::Endpoints(update)));
             }
             _ => actions = rig.wait(Span::from_ms(rng.f64() * 15.0)),
         }
         // What has run past its deadline comes back as the caller's network would bring it.
         while let Some(i) = out.iter().position(|o| rig.now >= o.deadline && !o.streaming) {
             let o = out.swap_remove(i);
-            actions.extend_from_slice(rig.answer(o.request, o.attempt, Outcome::TimedOut, 800.0));
+            actions.extend_from_slice(rig.respond(o.request, o.attempt, Outcome::TimedOut, 800.0));
         }
         for action in &actions {
             match action {
@@ -143,24 +143,24 @@
     3877, 3937, 2371, 2909, 3251, 3551, 3738, 5991, 8698, 8872, 8958,
 ];
 
-fn the_rules_hold(pick: u64) {
+fn the_invariants_hold(pick: u64) {
     let (rig, said) = walk(pick, 1500);
-    assert!(rig.observer.faults.is_empty(), "walk {pick}: {:#?}", rig.observer.faults);
-    assert_eq!(rig.observer.lost(rig.now), 0, "walk {pick}");
+    assert!(rig.checker.violations.is_empty(), "walk {pick}: {:#?}", rig.checker.violations);
+    assert_eq!(rig.checker.overdue_answers(rig.now), 0, "walk {pick}");
     let sends = said.iter().filter(|s| s.contains("Send")).count();
     assert!(sends > 50, "walk {pick} sent only {sends} times and so shows little");
 }
 
 /// The first 250 walks, or as many as `RANDOM_WALKS` says: `RANDOM_WALKS=4000 cargo test --release --test random_walk`.
 #[test]
-fn the_rules_hold_on_random_walks() {
+fn the_invariants_hold_on_random_walks() {
     let walks = std::env::var("RANDOM_WALKS").map_or(250, |walks| walks.parse().expect("a number of walks"));
-    (0..walks).for_each(the_rules_hold);
+    (0..walks).for_each(the_invariants_hold);
 }
 
 #[test]
-fn the_rules_hold_on_walks_that_once_broke_them() {
-    ONCE_BROKEN.into_iter().for_each(the_rules_hold);
+fn the_invariants_hold_on_walks_that_once_broke_them() {
+    ONCE_BROKEN.into_iter().for_each(the_invariants_hold);
 }
 
 #[test]
@@ -174,8 +174,8 @@
 fn seeds_matter() {
     let with = |seed| {
         let mut rig = Rig::new(settings(2), seed);
-        rig.list(fleet(9, 3, 3));
-        (0..20).map(|_| rig.ask(0).1).collect::<Vec<_>>()
+        rig.set_endpoints(fleet(9, 3, 3));
+        (0..20).map(|_| rig.request(0).1).collect::<Vec<_>>()
     };
     assert_ne!(with(1), with(2));
 }
@@ -184,17 +184,17 @@
 #[test]
 fn interleaved_balancers_act_as_if_apart() {
     let step = |rig: &mut Rig, i: u32| {
-        let (id, sent) = rig.ask((i % 3) as usize);
+        let (id, sent) = rig.request((i % 3) as usize);
         let mut actions = rig.actions.clone();
         actions.extend(rig.wait(Span::from_ms(3.0)));
         if sent.is_some() && i % 4 != 0 {
-            actions.extend_from_slice(rig.answer(id, 0, Outcome::Success, 3.0));
+            actions.extend_from_slice(rig.respond(id, 0, Outcome::Success, 3.0));
         }
         actions
     };
     let start = |seed| {
         let mut rig = Rig::new(settings(seed), seed);
-        rig.list(fleet(7, 3, 3));
+        rig.set_endpoints(fleet(7, 3, 3));
         rig
     };
     let alone = |seed| {
--- a/tests/gone_servers_are_forgotten.rs
+++ b/tests/removed_servers_are_forgotten.rs
@@ -1,18 +1,18 @@
 //! What is kept goes by the servers that are listed, and not by all that ever were: a fleet is replaced every day.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
-/// Resident memory of this process in KiB; `None` where the system does not tell.
+/// Resident memory of this process in KiB; `None` where the system does not say.
 fn resident() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
     text.lines().find(|l| l.starts_with("VmRSS"))?.split_whitespace().nth(1)?.parse().ok()
 }
 
 #[test]
-fn a_fleet_that_is_replaced_again_and_again_leaves_nothing_behind() {
+fn a_fleet_that_is_replaced_repeatedly_leaves_no_memory_in_use() {
     const SERVERS: u32 = 500;
-    let settings = Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() };
+    let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut balancer = Balancer::new(settings, 1).expect("usable settings");
     let mut now = Time::from_ms(1000.0);
     let mut out = Vec::new();
@@ -22,8 +22,8 @@
     let mut replace = |from: u32, to: u32| {
         for round in from..to {
             let names = round * SERVERS..(round + 1) * SERVERS;
-            let lines = names.clone().map(|i| Listed::serving(ServerId(i))).collect();
-            balancer.handle(now, Event::List(ListUpdate::Complete(lines)), &mut out);
+            let lines = names.clone().map(|i| Endpoint::serving(ServerId(i))).collect();
+            balancer.handle(now, Event::Endpoints(EndpointUpdate::Complete(lines)), &mut out);
             for _ in 0..20 {
                 (now, request) = (now + Span::from_ms(60.0), request + 1);
                 out.clear();
@@ -43,7 +43,7 @@
                 now = now + Span::from_ms(50.0);
                 balancer.handle(now, Event::Timer(TimerId(0)), &mut out);
             }
-            assert_eq!(balancer.views(now).len(), SERVERS as usize);
+            assert_eq!(balancer.server_views(now).len(), SERVERS as usize);
         }
     };
     replace(0, 20);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Guards against settings that lack what a decision could use, and against ones that no decision can use.
 mod common;
+use balancer::*;
 use common::*;
-use micasail::*;
 
 #[test]
 fn impossible_settings_are_errors_and_not_panics() {
@@ -12,45 +12,51 @@
     };
     assert_eq!(with(|s| s.classes.clear()), Some(SettingsError::NoClasses));
     assert_eq!(with(|s| s.max_attempts = 0), Some(SettingsError::NoAttempts));
-    assert_eq!(with(|s| s.classes[0].aim = Span::ZERO), Some(SettingsError::ZeroSpan { setting: "aim" }));
+    assert_eq!(
+        with(|s| s.classes[0].latency_objective = Span::ZERO),
+        Some(SettingsError::ZeroSpan { setting: "latency_objective" })
+    );
     assert_eq!(
         with(|s| s.classes[0].deadline = Span::ZERO),
         Some(SettingsError::ZeroSpan { setting: "deadline" })
     );
-    assert!(matches!(with(|s| s.cold_share = f64::NAN), Some(SettingsError::BadNumber { .. })));
+    assert!(matches!(with(|s| s.initial_capacity = f64::NAN), Some(SettingsError::BadNumber { .. })));
     assert!(matches!(with(|s| s.overload_factor = -1.0), Some(SettingsError::BadNumber { .. })));
-    assert!(matches!(with(|s| s.classes[0].worth = f64::INFINITY), Some(SettingsError::BadNumber { .. })));
+    assert!(matches!(
+        with(|s| s.classes[0].priority_weight = f64::INFINITY),
+        Some(SettingsError::BadNumber { .. })
+    ));
     assert_eq!(with(|_| ()), None);
 }
 
-/// No reports, keys, tenants, probes, cancels or advice, and no goal to speak of: requests are served all the same.
+/// No reports, keys, tenants, health checks, cancels or advice, and no goal to speak of: requests are served all the same.
 #[test]
-fn the_plain_path_needs_nothing_but_a_class() {
+fn a_class_is_all_that_settings_need() {
     let settings = Settings {
-        classes: vec![class(Effect::Idempotent)],
+        classes: vec![class(Idempotency::Idempotent)],
         cancel: false,
         goal: Goal { whole: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
-        warm_after: Span::ZERO,
+        warm_up_time: Span::ZERO,
         ..Settings::default()
     };
     let mut rig = Rig::new(settings, 1);
-    rig.list(fleet(3, 1, 1));
+    rig.set_endpoints(fleet(3, 1, 1));
     for _ in 0..100 {
-        let (id, sent) = rig.ask(0);
+        let (id, sent) = rig.request(0);
         assert!(sent.is_some());
         rig.wait(Span::from_ms(10.0));
-        rig.answer_with(id, 0, Outcome::Success, 10.0, Some(vec![f64::NAN, -1.0, 1e300]));
+        rig.respond_with(id, 0, Outcome::Success, 10.0, Some(vec![f64::NAN, -1.0, 1e300]));
     }
-    rig.assert_rules();
+    rig.assert_invariants();
 }
 
 #[test]
-fn a_request_of_an_unknown_class_is_refused() {
+fn a_request_of_an_unknown_class_is_rejected() {
     let mut rig = Rig::new(Settings::default(), 1);
-    rig.list(fleet(3, 1, 1));
+    rig.set_endpoints(fleet(3, 1, 1));
     let request = Request::new(RequestId(5), ClassId(9), Span::from_ms(100.0));
     let mut actions = Vec::new();
     rig.balancer.handle(rig.now, Event::Request(request), &mut actions);
-    assert!(refused(&actions, RequestId(5)));
+    assert!(rejected(&actions, RequestId(5)));
     assert!(!actions.iter().any(|a| matches!(a, Action::Send { .. })));
 }
