--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -132,7 +132,7 @@
         let pending = PendingRequest { request, limits, is_over_share, history: AttemptHistory::default() };
         let is_hopeless = self.is_hopeless(now, &pending);
         self.pending.insert(pending);
-        let (level, is_sparse) = (self.fleet.level.value(), self.fleet.is_sparse());
+        let (level, is_sparse) = (self.fleet.admission_level.value(), self.fleet.is_sparse());
         self.fleet.outliers.record_request();
         self.retry_budget.earn(level, is_sparse);
         // With sparse traffic the limits of servers bind nothing: a random part is admitted, by the admission level.
--- a/src/balancer/servers.rs
+++ b/src/balancer/servers.rs
@@ -135,7 +135,7 @@
             !attempt.is_uploading && now.since(attempt.sent_at) > classes[attempt.class].latency_objective
         });
         for _ in 0..late {
-            self.fleet.level.record(LATE, self.pending.in_flight_count(), true);
+            self.fleet.admission_level.record(LATE, self.pending.in_flight_count(), true);
         }
     }
 
--- a/src/balancer/views.rs
+++ b/src/balancer/views.rs
@@ -37,7 +37,7 @@
             fleet.outliers.ejected().len(),
             self.pending.in_flight_count(),
             self.pending.queue_len(),
-            fleet.level.value(),
+            fleet.admission_level.value(),
             fleet.latencies.median(),
             fleet.latencies.all_usual(),
             fleet.latencies.all_current(),
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -22,7 +22,7 @@
     settings: Arc<Settings>,
     pub(crate) endpoints: Endpoints,
     pub(crate) latencies: Latencies,
-    pub(crate) level: AdmissionLevel,
+    pub(crate) admission_level: AdmissionLevel,
     pub(crate) load_reports: LoadReports,
     pub(crate) outliers: Outliers,
     pub(crate) slow_start: SlowStart,
@@ -43,7 +43,7 @@
         Fleet {
             endpoints: Endpoints::new(&settings),
             latencies: Latencies::new(&settings),
-            level: AdmissionLevel::new(&settings),
+            admission_level: AdmissionLevel::new(&settings),
             load_reports: LoadReports::new(&settings),
             outliers: Outliers::new(&settings),
             slow_start: SlowStart::new(&settings),
@@ -89,7 +89,7 @@
             return server.limit.is_rested(now)
                 && budget.has_sparse_budget(now, slow_start, factor, open_servers, request.mean_work);
         }
-        server.limit.has_capacity(now, self.level.value(), factor, server.connections.at_work())
+        server.limit.has_capacity(now, self.admission_level.value(), factor, server.connections.at_work())
             && budget.has_budget(now, slow_start, factor, open_servers, request.work)
     }
 
@@ -202,7 +202,7 @@
         let latency = latency_fraction(outcome, elapsed, latency_objective);
         let says_little = is_sparse && outcome == Outcome::Rejected && !attempt.is_retry;
         if latency > 0.0 && !attempt.is_level_settled && !says_little {
-            self.level.record(latency, in_flight, is_sparse);
+            self.admission_level.record(latency, in_flight, is_sparse);
         }
         let server = self.endpoints.server_mut(attempt.server);
         let idle_latency = self.latencies.idle(attempt.class, &server.latency);
--- a/src/fleet/views.rs
+++ b/src/fleet/views.rs
@@ -14,7 +14,7 @@
             self.endpoints.servers().iter().filter(|server| server.is_open).collect();
         snapshot::select_servers(&mut servers, |server| server.relevance());
         Snapshot {
-            admission_level: self.level.value(),
+            admission_level: self.admission_level.value(),
             median_latency: self.latencies.median(),
             class_latencies: self.latencies.all_usual(),
             warm_sent: self.slow_start.warm_sent(now),
@@ -25,8 +25,8 @@
     /// Restores what another balancer has learned, server by server as long as its process is the same; what is not
     /// usable is left out.
     pub(crate) fn restore(&mut self, now: Time, snapshot: Snapshot) {
-        if let Some(level) = snapshot.usable_level(self.level.min(self.is_sparse())) {
-            self.level.restore(level);
+        if let Some(level) = snapshot.usable_level(self.admission_level.min(self.is_sparse())) {
+            self.admission_level.restore(level);
         }
         if let Some(median) = snapshot.usable_median(LATE) {
             self.latencies.restore_median(median);
@@ -85,7 +85,7 @@
             cordoned: self.endpoints.is_cordoned(server.endpoint.server),
             outlier: self.is_outlier(now, server),
             in_flight: server.connections.in_flight(),
-            limit: server.limit.value() * self.level.value(),
+            limit: server.limit.value() * self.admission_level.value(),
             slow_start_factor: self.slow_start_factor(now, server),
         };
         self.endpoints.listed().map(view).collect()
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -141,7 +141,8 @@
         let draws = self.draws(fleet);
         let mut found: Vec<usize> = Vec::with_capacity(draws + self.remembered.len() + 1);
         let has_price = self.settings.prices.cross_zone > 0.0 || fleet.endpoints.has_regions();
-        let is_near_preferred = has_price && fleet.level.value() >= MIN_NEAR_LEVEL && !fleet.is_sparse();
+        let is_near_preferred =
+            has_price && fleet.admission_level.value() >= MIN_NEAR_LEVEL && !fleet.is_sparse();
         let near_draws = if is_near_preferred { NEAR_DRAWS } else { 0 };
         let rounds = [
             (DrawPool::OwnZone, near_draws, near_draws),
