--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn a_new_usual_wait_is_believed_after_enough_requests() {
+fn a_new_usual_timeout_is_adopted_after_enough_requests() {
     let (settings, mut rng) = (settings(), fastrand::Rng::with_seed(1));
     let mut admission = Admission::new(&settings);
     let mut assess = |time_left_ms| admission.assess(NOW, &request(time_left_ms), &settings, &mut rng).limits;
     for _ in 0..100 {
         assess(400.0);
     }
-    for _ in 0..MAX_WAIT_VOTES {
+    for _ in 0..MAX_TIMEOUT_VOTES {
         assess(300.0);
     }
     assert_eq!(assess(300.0).objective, NOW + Span::from_ms(100.0));
@@ -53,12 +53,12 @@
         let request = Request { tenant: Some(TenantId(tenant)), ..request(400.0) };
         over[tenant] += u32::from(admission.assess(NOW, &request, &settings, &mut rng).is_over_share);
     }
-    // Half of the traffic where 0.2 * 1.4 is its share: the rest is 44% of it.
+    // The first tenant sends half of the traffic and may send 0.2 * 1.4 of it. The excess is 44% of its requests.
     assert!((380..500).contains(&over[0]) && over[1] == 0, "{over:?}");
 }
 
 #[test]
-fn the_class_that_frees_most_work_for_its_priority_is_rejected_first() {
+fn the_class_with_the_lowest_priority_for_its_work_is_not_protected() {
     let classes = vec![class(), Class { priority_weight: 5.0, ..class() }];
     let goal = Goal { whole: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 };
     let settings = Settings { classes, goal, ..Settings::default() };
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_request_is_too_late_when_its_response_would_come_after_the_last_moment_that_counts() {
+fn a_request_is_too_late_when_its_response_would_no_longer_count() {
     let limits = TimeLimits::from_now(NOW, Span::from_ms(400.0), Span::from_ms(100.0));
     let at = |ms: f64, class: &Class| is_too_late(NOW + Span::from_ms(ms), class, &limits, 0.5);
     assert!(!at(64.0, &class()) && at(65.0, &class()));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn the_queue_is_bounded_and_leaves_clients_requests_to_open() {
+fn the_queue_is_bounded_and_leaves_clients_able_to_open_requests() {
     let limited = Settings { max_concurrent_requests: Some(100), ..settings() };
     assert!(has_queue_capacity(&settings(), MAX_QUEUE_LENGTH - 1, 10_000));
     assert!(!has_queue_capacity(&settings(), MAX_QUEUE_LENGTH, 0));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_client_is_asked_to_retry_after_its_latency_objective_within_what_it_respects() {
+fn a_client_is_asked_to_retry_after_its_latency_objective_up_to_the_configured_maximum() {
     let retry_after_within = |max_ms: f64| {
         let settings = Settings { retry_after: true, max_retry_after: Span::from_ms(max_ms), ..settings() };
         retry_after(&settings, &class())
