--- a/src/retries.rs
+++ b/src/retries.rs
@@ -1,32 +1,33 @@
-//! What may still be done with a request after its earlier attempts, and the budget for retries.
+//! Retry rules for a request after its earlier attempts, and the retry budget.
 //!
-//! An [`AttemptHistory`] holds what is known of a request's attempts. The whole of "nothing is executed twice that must
-//! not be" lies in [`AttemptHistory::permitted_actions`] and [`AttemptHistory::may_begin`].
+//! An [`AttemptHistory`] records the attempts of a request. The rule that no request is executed twice unless its class
+//! allows it is enforced only by [`AttemptHistory::permitted_actions`] and [`AttemptHistory::may_begin`].
 
 use crate::{
     AttemptNo, CellId, Class, DeduplicationScope, Endpoint, Idempotency, ServerId, Settings, Span, Time,
     ZoneId,
 };
 
-/// The budget tokens that a request earns from an admission level of one half down: more would feed an overload.
+/// The tokens that a request earns at an admission level of one half or less. More would feed an overload.
 const MIN_TOKENS_PER_REQUEST: f64 = 0.1;
-/// The budget tokens that a request earns while responses are in time, as the fleet then has capacity for retries.
+/// The tokens that a request earns at an admission level of one, when the fleet has capacity for retries.
 const MAX_TOKENS_PER_REQUEST: f64 = 0.4;
-/// The most tokens that are saved.
+/// The most tokens that a budget holds.
 const MAX_TOKENS: f64 = 10.0;
-/// The same with sparse traffic: many balancers that each save a burst would all spend it in the same overload.
+/// The most tokens that a budget holds with sparse traffic: many balancers that had each saved up a burst of retries
+/// would all spend it in the same overload.
 const MAX_TOKENS_SPARSE: f64 = 1.0;
 
 /// Where a request may still be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RetryScope {
-    /// To no server.
+    /// Not at all.
     Nowhere,
     /// To any server.
     Anywhere,
-    /// To the servers of one zone.
+    /// Only to servers in this zone.
     Zone(ZoneId),
-    /// To the servers of one cell.
+    /// Only to servers in this cell.
     Cell(CellId),
 }
 
@@ -42,16 +43,16 @@
     }
 }
 
-/// What may still be done with a request.
+/// How a request may proceed after its earlier attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PermittedActions {
-    /// Where another attempt may go.
+    /// Where another attempt may be sent.
     pub(crate) send: RetryScope,
-    /// Whether the client may get a rejection, which says that the request was not executed.
+    /// Whether the final answer may be a rejection, which tells the client that it may safely retry.
     pub(crate) reject: bool,
 }
 
-/// What is known of the execution of an attempt.
+/// Whether an attempt is in flight, and once it has ended, whether it may have been executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ExecutionState {
     InFlight,
@@ -69,7 +70,7 @@
     state: ExecutionState,
 }
 
-/// The attempts of a request.
+/// The attempts of a request, and the other facts that limit its retries.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptHistory {
     attempts: Vec<Attempt>,
@@ -92,17 +93,17 @@
         self.attempts[attempt as usize].state = state;
     }
 
-    /// Records that the client has been sent the beginning of this attempt's response.
+    /// Records that the beginning of this attempt's response has been forwarded to the client.
     pub(crate) fn record_first_byte(&mut self, attempt: AttemptNo) {
         self.has_response_started = (attempt.0 as usize) < self.attempts.len();
     }
 
-    /// Records that a part of the body has been forwarded and is not kept.
+    /// Records that a part of the request body has been forwarded and is not kept, so that it cannot be sent again.
     pub(crate) fn record_body_consumed(&mut self) {
         self.is_body_consumed = true;
     }
 
-    /// Whether an attempt has not ended.
+    /// Whether any attempt is in flight.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.state == ExecutionState::InFlight)
     }
@@ -112,7 +113,7 @@
         self.attempts.iter().map(|attempt| attempt.server)
     }
 
-    /// What may still be done with the request.
+    /// Where the request may still be sent, and whether it may be rejected.
     pub(crate) fn permitted_actions(
         &self,
         now: Time,
@@ -120,36 +121,38 @@
         class: &Class,
         settings: &Settings,
     ) -> PermittedActions {
-        let first = first_executed(&self.attempts);
+        let first = first_possibly_executed(&self.attempts);
         let reject = match (first, class.idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => true,
             (Some(_), Idempotency::AtMostOnce) => false,
             (Some(_), Idempotency::Deduplicated { scope, .. }) => scope == DeduplicationScope::All,
         };
-        let is_used_up = self.attempts.len() >= settings.max_attempts as usize
+        let is_exhausted = self.attempts.len() >= settings.max_attempts as usize
             || self.has_response_started
             || self.is_body_consumed
             || now >= deadline
             || (self.is_in_flight() && !settings.hedging);
         PermittedActions {
-            send: if is_used_up { RetryScope::Nowhere } else { retry_scope(now, first, class) },
+            send: if is_exhausted { RetryScope::Nowhere } else { retry_scope(now, first, class) },
             reject: reject && !self.has_response_started,
         }
     }
 
-    /// Whether an attempt whose first byte can be sent only now may still begin, as far as its request is concerned:
-    /// while its connection was established, the window for retries may have closed. Returns the attempt's server.
+    /// Whether an attempt whose connection has only now been established may still begin, as far as its request is
+    /// concerned: the deduplication window for retries may have closed in the meantime. Returns the attempt's server if
+    /// it may begin.
     pub(crate) fn may_begin(&self, now: Time, attempt: AttemptNo, class: &Class) -> Option<ServerId> {
         let (earlier, rest) = self.attempts.split_at((attempt.0 as usize).min(self.attempts.len()));
-        let is_too_late = match (first_executed(earlier), class.idempotency) {
+        let is_too_late = match (first_possibly_executed(earlier), class.idempotency) {
             (Some(first), Idempotency::Deduplicated { window, .. }) => is_past_window(now, first, window),
             _ => false,
         };
         rest.first().filter(|_| !is_too_late).map(|attempt| attempt.server)
     }
 
-    /// Whether an attempt may be cancelled to retry elsewhere: it is the latest one, and its class allows the retry. With
-    /// `only_idempotent` the class has to allow any number of executions.
+    /// Whether an attempt may be cancelled to retry elsewhere: it must be the latest one and not the last that the
+    /// settings allow, no response may have started, and both the settings and the class must allow it. With
+    /// `only_idempotent` the class must be idempotent.
     pub(crate) fn may_cancel(
         &self,
         attempt: u32,
@@ -159,18 +162,18 @@
     ) -> bool {
         let attempts = self.attempts.len() as u32;
         let is_last = attempts == attempt + 1;
-        let is_retriable = match class.idempotency {
+        let is_retry_allowed = match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Deduplicated { .. } => !only_idempotent,
             Idempotency::AtMostOnce => false,
         };
-        let has_attempt = attempts < settings.max_attempts;
-        !self.has_response_started && settings.cancel && is_last && has_attempt && is_retriable
+        let has_attempt_left = attempts < settings.max_attempts;
+        !self.has_response_started && settings.cancel && is_last && has_attempt_left && is_retry_allowed
     }
 }
 
-/// The first attempt that is or may have been executed.
-fn first_executed(attempts: &[Attempt]) -> Option<&Attempt> {
+/// The first attempt that may have been executed; one in flight counts as well.
+fn first_possibly_executed(attempts: &[Attempt]) -> Option<&Attempt> {
     attempts.iter().find(|attempt| attempt.state != ExecutionState::NotExecuted)
 }
 
@@ -178,7 +181,7 @@
     now > first.sent_at + window
 }
 
-/// Where another attempt may go after `first`, the first that may have been executed.
+/// Where another attempt may be sent, given the first attempt that may have been executed.
 fn retry_scope(now: Time, first: Option<&Attempt>, class: &Class) -> RetryScope {
     let Some(first) = first else { return RetryScope::Anywhere };
     match class.idempotency {
@@ -193,42 +196,43 @@
     }
 }
 
-/// A token bucket that requests fill and retries drain. A retry after an attempt that was not executed is free.
+/// A token bucket that new requests fill and retries drain. A retry after an attempt that was not executed takes no
+/// token.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub(crate) fn new() -> Self {
         RetryBudget { tokens: MAX_TOKENS }
     }
 
-    /// A new request earns a part of a token, by the admission level.
+    /// Adds the fraction of a token that a new request earns. It rises with the admission level.
     pub(crate) fn earn(&mut self, admission_level: f64, is_sparse: bool) {
         let max_tokens = if is_sparse { MAX_TOKENS_SPARSE } else { MAX_TOKENS };
-        let spare_capacity = (2.0 * admission_level - 1.0).max(0.0);
-        let extra = (MAX_TOKENS_PER_REQUEST - MIN_TOKENS_PER_REQUEST) * spare_capacity;
+        let capacity_left = (2.0 * admission_level - 1.0).max(0.0);
+        let extra = (MAX_TOKENS_PER_REQUEST - MIN_TOKENS_PER_REQUEST) * capacity_left;
         self.tokens = (self.tokens + MIN_TOKENS_PER_REQUEST + extra).min(max_tokens);
     }
 
-    /// Whether a retry can be paid for.
+    /// Whether the budget allows a retry.
     pub(crate) fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Pays for a retry.
+    /// Takes the token for a retry.
     pub(crate) fn spend(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Grants a retry beyond what requests have earned.
+    /// Adds a token for a retry that needs no budget.
     pub(crate) fn grant(&mut self) {
         self.tokens += 1.0;
     }
 
-    /// The tokens left.
+    /// The tokens in the budget.
     pub(crate) fn tokens(&self) -> f64 {
         self.tokens
     }
--- a/src/retries/tests.rs
+++ b/src/retries/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_may_have_been_executed_is_retried_only_where_its_class_allows() {
+fn a_request_that_may_have_been_executed_is_retried_only_where_its_class_allows() {
     let classes = [
         (class(Idempotency::Idempotent), RetryScope::Anywhere, true),
         (class(Idempotency::AtMostOnce), RetryScope::Nowhere, false),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn what_was_not_executed_is_retried_anywhere_and_may_be_rejected() {
+fn a_request_that_was_not_executed_is_retried_anywhere_and_may_be_rejected() {
     for idempotency in [Idempotency::Idempotent, Idempotency::AtMostOnce] {
         let permitted = permitted(&ended(true), SENT_AT, &class(idempotency));
         assert_eq!(permitted, PermittedActions { send: RetryScope::Anywhere, reject: true });
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn nothing_is_retried_past_the_deduplication_window_or_the_deadline() {
+fn no_request_is_retried_after_the_deduplication_window_or_the_deadline() {
     let class = deduplicated(DeduplicationScope::All);
     let at = |now| permitted(&ended(false), now, &class).send;
     assert_eq!(at(SENT_AT + WINDOW), RetryScope::Anywhere);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_started_response_or_a_consumed_body_rules_out_a_retry() {
+fn a_started_response_or_a_consumed_body_prevents_a_retry() {
     let class = class(Idempotency::Idempotent);
     let mut started = ended(false);
     started.record_first_byte(AttemptNo(0));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn two_attempts_are_in_flight_only_where_requests_may_be_hedged() {
+fn a_second_attempt_in_flight_requires_hedging() {
     let (class, history) = (class(Idempotency::Idempotent), sent_once());
     assert_eq!(permitted(&history, SENT_AT, &class).send, RetryScope::Nowhere);
     let hedging = Settings { hedging: true, ..Settings::default() };
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_attempt_that_can_only_begin_past_the_window_of_an_earlier_one_does_not() {
+fn an_attempt_may_not_begin_after_the_deduplication_window_of_an_earlier_one() {
     let mut history = ended(false);
     history.record_send(SENT_AT, &Endpoint::serving(ServerId(5)));
     let class = deduplicated(DeduplicationScope::All);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn only_the_latest_attempt_is_cancelled_and_only_for_a_retry_that_is_permitted() {
+fn only_the_latest_attempt_is_cancelled_and_only_if_a_retry_is_permitted() {
     let (settings, mut history) = (Settings::default(), sent_once());
     let deduplicated = deduplicated(DeduplicationScope::All);
     assert!(history.may_cancel(0, &class(Idempotency::Idempotent), &settings, true));
