--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,8 +1,9 @@
-//! The balancer: takes in events, keeps the requests' course and wires the parts together.
+//! The balancer: handles events, tracks each request until its final answer, and connects the other modules.
 //!
-//! In the order of a request's life: `handle_request` takes it in, `dispatch` selects a server for it or else it is
-//! queued, `handle_outcome` lets the parts learn from a response and decides what follows, and `finish` gives the one
-//! final answer. `tick` looks after unresponsive servers, the queue and the endpoint list.
+//! A request passes through these functions: `handle_request` admits it or answers it at once; `dispatch` selects a
+//! server, and if none is ready the request is queued; `handle_outcome` updates the state of the servers after an
+//! attempt and decides whether to retry; `finish` emits the only final answer. `tick` periodically handles unresponsive
+//! servers, the queue and the polling of the endpoint list.
 
 mod dispatch;
 mod servers;
@@ -21,13 +22,14 @@
 };
 use std::sync::Arc;
 
-/// How often the balancer looks after queue, servers and endpoint list while requests are queued, and while none are.
+/// The interval between two ticks while requests are queued.
 const TICK_INTERVAL_QUEUED: Span = Span(10_000);
+/// The interval between two ticks while the queue is empty.
 const TICK_INTERVAL_IDLE: Span = Span(50_000);
-const TICK: TimerId = TimerId(0);
-const LOAD_QUERY: TimerId = TimerId(1);
+const TICK_TIMER: TimerId = TimerId(0);
+const LOAD_QUERY_TIMER: TimerId = TimerId(1);
 
-/// The decisions of one client process about where, when and how often its requests are sent.
+/// Decides for one client process to which server each request is sent, when, and how often it is retried.
 pub struct Balancer {
     settings: Arc<Settings>,
     rng: fastrand::Rng,
@@ -42,7 +44,7 @@
 }
 
 impl Balancer {
-    /// A balancer for these settings; equal seeds and events give equal actions.
+    /// Creates a balancer, or fails if the settings are invalid. The same seed and events always give the same actions.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let settings = Arc::new(settings);
@@ -60,7 +62,8 @@
         })
     }
 
-    /// To be called once, before the first event.
+    /// Starts polling the endpoint list, if the settings have it polled, and sets the first timer. Must be called once,
+    /// before the first event.
     pub fn start(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.polling.start(now, &mut self.rng) {
             actions.push(Action::Watch { active: true });
@@ -68,7 +71,7 @@
         self.set_tick(now, TICK_INTERVAL_IDLE, actions);
     }
 
-    /// Takes in what has happened by `now` and appends what is to be done about it.
+    /// Handles an event that happened at `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Request(request) => self.handle_request(now, request, actions),
@@ -92,8 +95,8 @@
             Event::ClientDisconnected { request } => {
                 self.pending.remove(request);
             }
-            Event::Timer(TICK) => self.tick(now, actions),
-            Event::Timer(LOAD_QUERY) => self.finish_load_queries(now, actions),
+            Event::Timer(TICK_TIMER) => self.tick(now, actions),
+            Event::Timer(LOAD_QUERY_TIMER) => self.finish_load_queries(now, actions),
             Event::Timer(_) => {}
             Event::Gossip { payload, .. } => self.handle_gossip(now, &payload),
             Event::HealthChecked { server, outcome, report, .. } => {
@@ -123,34 +126,37 @@
             return;
         }
         if self.pending.has_attempt_in_flight(id) {
-            // The end of an earlier request's attempt would be taken for that of a new one.
+            // An earlier request of the same identifier still has an attempt in flight. Its outcome could not be
+            // distinguished from that of an attempt of this request.
             actions.push(Action::Reject { request: id, retry_after: None });
             return;
         }
         let Assessment { limits, is_over_share } =
             self.admission.assess(now, &request, &self.settings, &mut self.rng);
         let pending = PendingRequest { request, limits, is_over_share, history: AttemptHistory::default() };
-        let is_hopeless = self.is_hopeless(now, &pending);
+        let is_unservable = self.is_unservable(now, &pending);
         self.pending.insert(pending);
         let (level, is_sparse) = (self.fleet.admission_level.value(), self.fleet.is_sparse());
         self.fleet.outliers.record_request();
         self.retry_budget.earn(level, is_sparse);
-        // With sparse traffic the limits of servers bind nothing: a random part is admitted, by the admission level.
-        if is_hopeless || (is_sparse && self.rng.f64() >= level) {
+        // With sparse traffic concurrency limits are not enforced. Instead a random fraction of the requests, the
+        // admission level, is admitted.
+        if is_unservable || (is_sparse && self.rng.f64() >= level) {
             self.finish(now, id, actions);
         } else {
             self.dispatch_or_queue(now, id, actions);
         }
     }
 
-    /// Whether there is nowhere to send a request, or it would be answered too late to count.
-    fn is_hopeless(&self, now: Time, pending: &PendingRequest) -> bool {
+    /// Whether operators hold back every server that could serve a request, or its response would come too late to
+    /// count.
+    fn is_unservable(&self, now: Time, pending: &PendingRequest) -> bool {
         let usual_latency = self.fleet.latencies.usual(pending.request.class.0);
         self.fleet.endpoints.is_all_held_back()
             || is_too_late(now, self.class(&pending.request), &pending.limits, usual_latency)
     }
 
-    /// Sends a request, or else queues it as long as the queue has capacity.
+    /// Sends a request. If no server is ready, queues it; if the queue has no capacity either, finishes it.
     fn dispatch_or_queue(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         if !self.dispatch(now, id, actions) {
             self.queue(now, id, actions);
@@ -163,13 +169,13 @@
             return;
         }
         self.pending.enqueue(id);
-        // A tick that is due is never put off: requests queued at each tick would starve it.
+        // The tick is only ever set earlier. If queued requests could postpone it, a steady flow would starve it.
         if self.next_tick > now + TICK_INTERVAL_QUEUED {
             self.set_tick(now, TICK_INTERVAL_QUEUED, actions);
         }
     }
 
-    /// Sends the queued requests that can go, and ends those that can no longer be answered in time.
+    /// Sends each queued request that a server is ready for, and finishes those that can no longer be answered in time.
     fn dispatch_queued(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.pending.queue_len() == 0 {
             return;
@@ -182,7 +188,7 @@
             let Some(pending) = self.pending.get(id) else { return false };
             let class = self.class(&pending.request);
             let current_latency = self.fleet.latencies.current(pending.request.class.0);
-            if self.is_hopeless(now, pending)
+            if self.is_unservable(now, pending)
                 || is_too_late_to_queue(now, class, &pending.limits, current_latency)
             {
                 self.finish(now, id, actions);
@@ -193,14 +199,15 @@
         self.pending.set_queue(queue);
     }
 
-    /// What may still be done with a request.
+    /// Where a request may still be sent, and whether it may be rejected.
     fn permitted_actions(&self, now: Time, pending: &PendingRequest) -> PermittedActions {
         let class = self.class(&pending.request);
         pending.history.permitted_actions(now, pending.limits.deadline, class, &self.settings)
     }
 
-    /// Whether an attempt whose first byte can be sent only now may still begin. While its connection was established,
-    /// its server may have begun to drain, its request have ended, and the window for retries have closed.
+    /// Whether an attempt may still begin. To be called when its connection has been established and before its first
+    /// byte is sent: in the meantime its server may have begun to drain, its request may have ended, and the
+    /// deduplication window for retries may have closed.
     pub fn may_begin(&self, now: Time, request: RequestId, attempt: AttemptNo) -> bool {
         let Some(pending) = self.pending.get(request) else { return false };
         let server = pending.history.may_begin(now, attempt, self.class(&pending.request));
@@ -217,7 +224,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(attempt) = self.pending.end_attempt(key) else { return };
-        self.learn(&attempt, end, report, actions);
+        self.record_attempt_end(&attempt, end, report, actions);
         self.close_idle_connections(attempt.server, actions);
         if is_closed {
             self.pending.remove(key.request);
@@ -227,20 +234,20 @@
         self.dispatch_queued(end.now, actions);
     }
 
-    /// What follows for a request that is still owed an answer after an attempt has failed.
+    /// Retries a request after a failed attempt, or finishes it. Does nothing while another attempt is in flight.
     fn retry_or_finish(&mut self, key: AttemptKey, end: AttemptEnd, actions: &mut Vec<Action>) {
         let (now, id, is_not_executed) = (end.now, key.request, end.outcome.is_not_executed());
         let Some(pending) = self.pending.get_mut(id) else { return };
         pending.history.record_end(key.attempt, is_not_executed);
         if pending.request.uploading {
-            // Its body waits at the client for the next attempt.
+            // The body is still at the client and waits for the next attempt, so the time limits count from now.
             let latency_objective = self.settings.classes[pending.request.class.0].latency_objective;
             pending.limits = TimeLimits::from_now(now, pending.request.time_left, latency_objective);
         }
         let Some(pending) = self.pending.get(id).filter(|pending| !pending.history.is_in_flight()) else {
             return;
         };
-        let is_useful = !self.is_hopeless(now, pending);
+        let is_useful = !self.is_unservable(now, pending);
         let is_affordable = is_not_executed || self.retry_budget.has_token();
         let is_permitted = self.permitted_actions(now, pending).send != RetryScope::Nowhere;
         if !(is_permitted && is_useful && is_affordable) {
@@ -252,7 +259,7 @@
         self.dispatch_or_queue(now, id, actions);
     }
 
-    /// Gives the final answer: a rejection if that is true to the client, else a failure.
+    /// Emits the final answer: a rejection if the client may safely retry, else a failure.
     fn finish(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.remove(id) else { return };
         actions.push(match self.permitted_actions(now, &pending).reject {
@@ -274,7 +281,7 @@
 
     fn set_tick(&mut self, now: Time, after: Span, actions: &mut Vec<Action>) {
         self.next_tick = now + after;
-        actions.push(Action::SetTimer { at: self.next_tick, timer: TICK });
+        actions.push(Action::SetTimer { at: self.next_tick, timer: TICK_TIMER });
     }
 
     fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
@@ -295,8 +302,9 @@
         self.set_tick(now, interval, actions);
     }
 
-    /// Cancels an attempt to retry elsewhere, if that is permitted and useful and the budget allows it; true if it was.
-    /// With `only_idempotent` the class has to allow any number of executions.
+    /// Cancels an attempt so that its request is retried on another server, if the retry is permitted, can be answered
+    /// in time and fits the retry budget. Returns whether it was cancelled. With `only_idempotent`, only requests of
+    /// idempotent classes are cancelled.
     fn cancel_to_retry(
         &mut self,
         now: Time,
@@ -308,7 +316,7 @@
         let class = self.class(&pending.request);
         let is_cancelled = pending.history.may_cancel(key.attempt, class, &self.settings, only_idempotent)
             && self.retry_budget.has_token()
-            && !self.is_hopeless(now, pending);
+            && !self.is_unservable(now, pending);
         if let Some(attempt) = self.pending.attempt_mut(key).filter(|_| is_cancelled) {
             attempt.is_cancelled = true;
             actions.push(Action::Cancel { request: key.request, attempt: AttemptNo(key.attempt) });
--- a/src/balancer/dispatch.rs
+++ b/src/balancer/dispatch.rs
@@ -1,19 +1,21 @@
-//! From a request to its server: selection, load queries and the attempt that is sent.
+//! Dispatch: selects a server for a request, queries the candidates for their load where needed, and sends the attempt.
 
-use super::{Balancer, LOAD_QUERY};
+use super::{Balancer, LOAD_QUERY_TIMER};
 use crate::admission::TimeLimits;
 use crate::pending::{AttemptKey, InFlightAttempt, PendingRequest};
 use crate::retries::RetryScope;
 use crate::selection::{LoadQuery, SelectionRequest};
 use crate::{Action, Idempotency, Request, RequestId, ServerId, Span, Time};
 
-/// Candidates have this fraction of the latency objective to report their load.
-const LOAD_QUERY_TIMEOUT: f64 = 0.05;
-/// Work weighs a server's slowness by its root, relative to the usual work of its class, within this range.
-const RELATIVE_WORK: (f64, f64) = (1.0, 9.0);
+/// The timeout of a load query, as a fraction of the latency objective.
+const LOAD_QUERY_TIMEOUT_FRACTION: f64 = 0.05;
+/// The range of a request's work relative to the usual work of its class. The square root of this ratio weights the
+/// slowdown of a server.
+const RELATIVE_WORK_RANGE: (f64, f64) = (1.0, 9.0);
 
 impl Balancer {
-    /// Sends a request to the lightest candidate, or asks the candidates for their load first; false without any.
+    /// Sends a request to the candidate with the lowest load, or first queries the candidates for their load. Returns
+    /// false if there is no candidate.
     pub(super) fn dispatch(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(pending) = self.pending.get(id) else { return true };
         let request = self.selection_request(now, pending);
@@ -28,7 +30,7 @@
         self.send_to_lightest(now, &request, &candidates, actions)
     }
 
-    /// What a selection must know of a request.
+    /// Collects the properties of a request that the selection depends on.
     fn selection_request(&self, now: Time, pending: &PendingRequest) -> SelectionRequest {
         let class = pending.request.class.0;
         let key = pending.request.key.filter(|_| self.settings.key_affinity);
@@ -42,7 +44,7 @@
             scope: self.permitted_actions(now, pending).send,
             work: pending.request.cost_hint.map_or(mean_work, Span::as_ms),
             mean_work,
-            slowdown_weight: relative_work.clamp(RELATIVE_WORK.0, RELATIVE_WORK.1).sqrt(),
+            slowdown_weight: relative_work.clamp(RELATIVE_WORK_RANGE.0, RELATIVE_WORK_RANGE.1).sqrt(),
             is_idempotent: self.settings.classes[class].idempotency == Idempotency::Idempotent,
             key,
             affinity_server: key.and_then(|key| self.selection.affinity_server(key)).and_then(slot),
@@ -50,20 +52,22 @@
         }
     }
 
-    /// The expected work of a request in milliseconds: the client's estimate, else the usual latency of its class.
+    /// The expected work of a request in milliseconds: its cost hint, or the usual latency of its class without one.
     pub(super) fn expected_work(&self, request: &Request) -> f64 {
         let usual_ms = || self.fleet.latencies.usual_ms(request.class.0);
         request.cost_hint.map_or_else(usual_ms, Span::as_ms)
     }
 
-    /// The mean work of a class's requests in milliseconds, on the scale of their cost hints where the class has any.
-    /// Latencies are on another scale, and work sent to servers that are warming up is compared with work sent to others.
+    /// The mean work of a class's requests in milliseconds: the mean of their cost hints, or the usual latency of the
+    /// class if it has none. Hints come first because latencies are on another scale, and slow start compares the work
+    /// sent to servers that are warming up with the work sent to others.
     fn mean_work(&self, class: usize) -> f64 {
         let mean_hint = self.admission.mean_cost_hint_ms(class);
         mean_hint.unwrap_or_else(|| self.fleet.latencies.usual_ms(class))
     }
 
-    /// The servers that a request is selected from: one that is due for a first try or a probation request, else drawn.
+    /// The slots that the server is selected from: a single one if a restored server is due for a first try or a zone
+    /// for a probation request, else random draws.
     fn candidates(&mut self, now: Time, request: &SelectionRequest) -> Vec<usize> {
         if let Some(slot) = self.fleet.due_first_try(now, request) {
             return vec![slot];
@@ -74,7 +78,7 @@
         self.selection.candidates(now, &self.fleet, request, &mut self.rng)
     }
 
-    /// Sends a request to the lightest candidate; false without any.
+    /// Sends a request to the candidate with the lowest load. Returns false if none is suitable.
     fn send_to_lightest(
         &mut self,
         now: Time,
@@ -93,7 +97,7 @@
         let Some(pending) = self.pending.get_mut(request.id) else { return };
         let is_uploading = pending.request.uploading;
         if is_uploading {
-            // The client is timed by the caller while it sends.
+            // The host applies its own timeouts to the client while the body is being received.
             pending.limits = TimeLimits::NONE;
         }
         let endpoint = &self.fleet.server(slot).endpoint;
@@ -107,14 +111,15 @@
             is_probation,
             is_retry: attempt > 0,
             is_uploading,
-            is_level_settled: false,
+            is_excluded_from_level: false,
             is_cancelled: false,
         };
         self.pending.start_attempt(AttemptKey { request: request.id, attempt }, in_flight);
         actions.push(Action::Send { request: request.id, server, timeout_at });
     }
 
-    /// Asks the candidates for their load; the selection waits for all of them, for a short time at most.
+    /// Sends health checks to the candidates to learn their load. The selection is made when all of them have reported,
+    /// or after a timeout.
     fn query_load(
         &mut self,
         now: Time,
@@ -125,25 +130,27 @@
         let Some(pending) = self.pending.get(id) else { return };
         candidates.sort_unstable();
         candidates.dedup();
-        let timeout = self.class(&pending.request).latency_objective * LOAD_QUERY_TIMEOUT;
+        let timeout = self.class(&pending.request).latency_objective * LOAD_QUERY_TIMEOUT_FRACTION;
         let until = (now + timeout).min(pending.limits.deadline);
         for &slot in &candidates {
             actions.push(Action::HealthCheck { server: self.fleet.server(slot).endpoint.server });
         }
-        actions.push(Action::SetTimer { at: until, timer: LOAD_QUERY });
+        actions.push(Action::SetTimer { at: until, timer: LOAD_QUERY_TIMER });
         self.load_queries.push(LoadQuery { request: id, candidates, asked_at: now, until });
     }
 
-    /// Sends the requests whose candidates have reported their load, or have been waited for long enough.
+    /// Sends the requests whose load queries are complete or have timed out. Candidates that have reported are
+    /// preferred to those that have not.
     pub(super) fn finish_load_queries(&mut self, now: Time, actions: &mut Vec<Action>) {
         for query in self.load_queries.take_done(now, &self.fleet.endpoints) {
             let Some(pending) = self.pending.get(query.request) else { continue };
             let request = self.selection_request(now, pending);
             let has_report = |slot: usize| query.has_report(&self.fleet.endpoints, slot);
-            let any_has = query.candidates.iter().any(|&slot| has_report(slot));
-            let is_fit =
-                |slot: &usize| (!any_has || has_report(*slot)) && self.fleet.is_ready(now, *slot, &request);
-            let candidates: Vec<usize> = query.candidates.iter().copied().filter(is_fit).collect();
+            let has_any_report = query.candidates.iter().any(|&slot| has_report(slot));
+            let is_eligible = |slot: &usize| {
+                (!has_any_report || has_report(*slot)) && self.fleet.is_ready(now, *slot, &request)
+            };
+            let candidates: Vec<usize> = query.candidates.iter().copied().filter(is_eligible).collect();
             if !self.send_to_lightest(now, &request, &candidates, actions) {
                 self.queue(now, query.request, actions);
             }
--- a/src/balancer/servers.rs
+++ b/src/balancer/servers.rs
@@ -1,8 +1,8 @@
-//! What the balancer does about its servers: learning from attempts, outliers, zones, and changes of the endpoint list.
+//! The balancer's handling of servers: ends of attempts, outliers, zones, endpoint updates and operator commands.
 
 use super::Balancer;
 use crate::fleet::AttemptEnd;
-use crate::latency::LATE;
+use crate::latency::LATE_LATENCY;
 use crate::outliers::{decode_gossip, overdue_after, OutlierReason};
 use crate::pending::{AttemptKey, InFlightAttempt};
 use crate::zones::ZoneChange;
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 
 impl Balancer {
-    /// Lets all parts learn from the end of an attempt.
-    pub(super) fn learn(
+    /// Updates the state of the server and its zone, the latencies and the admission level after an attempt has ended.
+    pub(super) fn record_attempt_end(
         &mut self,
         attempt: &InFlightAttempt,
         end: AttemptEnd,
@@ -25,7 +25,7 @@
             self.fleet.load_reports.record(now, &mut server.report, report);
         }
         let change = self.fleet.record_zone_outcome(attempt, end, &mut self.rng, actions);
-        self.follow_zone_change(now, change, actions);
+        self.apply_zone_change(now, change, actions);
         let in_flight = self.pending.in_flight_count();
         if let Some(reason) = self.fleet.record_server_outcome(attempt, end, in_flight) {
             self.handle_outlier(now, slot, reason, actions);
@@ -36,10 +36,11 @@
         }
     }
 
-    /// Closes the idle connections to a server that will hardly be met again soon. Fresh draws range over the whole
-    /// fleet, so kept connections would grow to balancers times servers and fill the servers' tables. With sparse traffic
-    /// only the remembered servers' connections are kept where a new connection costs nothing; where it has a price, the
-    /// selection prefers few servers, and the others' connections close when they have been idle for long enough.
+    /// With sparse traffic, closes the idle connections to a server that is unlikely to be selected again soon. Random
+    /// draws cover the whole fleet, so the number of kept connections would grow to balancers times servers and fill
+    /// the servers' connection tables. If new connections are free, only those to remembered servers are kept. If they
+    /// have a price, all are kept: the selection then prefers few servers, and the other connections reach their idle
+    /// timeout.
     pub(super) fn close_idle_connections(&self, slot: usize, actions: &mut Vec<Action>) {
         let server = self.fleet.server(slot);
         let is_kept = self.selection.keeps_connections(&self.fleet) || self.selection.is_remembered(slot);
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Ejects or suspects an outlier, and forgets it in selections.
+    /// Ejects an outlier, or marks it as suspected with sparse traffic, and removes it from the remembered servers.
     fn handle_outlier(&mut self, now: Time, slot: usize, reason: OutlierReason, actions: &mut Vec<Action>) {
         if self.fleet.handle_outlier(now, slot, reason, &mut self.rng, actions) {
             self.selection.retain(|remembered| remembered != slot);
@@ -82,7 +83,7 @@
         self.finish_load_queries(now, actions);
     }
 
-    /// Takes in a message from another balancer.
+    /// Handles a gossip message: another balancer has found a server to be an outlier.
     pub(super) fn handle_gossip(&mut self, now: Time, payload: &[u8]) {
         let server = decode_gossip(payload).and_then(|server| self.fleet.endpoints.slot(server));
         if let Some(slot) = server {
@@ -92,54 +93,56 @@
         }
     }
 
-    /// A server is unresponsive if an attempt there is overdue and no response has arrived since it was sent. What
-    /// may be retried and can still be answered in time is cancelled there and sent elsewhere.
+    /// Handles unresponsive servers: those that have an overdue attempt and have not responded since it was sent. The
+    /// overdue attempts that may be retried, and whose requests can still be answered in time, are cancelled and
+    /// retried elsewhere.
     pub(super) fn handle_unresponsive(&mut self, now: Time, actions: &mut Vec<Action>) {
         let overdue = self.overdue_attempts(now);
-        self.settle_late_attempts(now);
+        self.record_late_attempts(now);
         for &(key, slot, sent_at) in &overdue {
             self.handle_outlier(now, slot, OutlierReason::Unresponsive, actions);
             let change = self.fleet.record_zone_unanswered(now, slot, sent_at, &mut self.rng, actions);
-            self.follow_zone_change(now, change, actions);
+            self.apply_zone_change(now, change, actions);
             if self.pending.attempt_mut(key).is_some_and(|attempt| !attempt.is_cancelled) {
                 self.cancel_to_retry(now, key, false, actions);
             }
         }
     }
 
-    /// The overdue attempts at servers that have not responded since, with their servers and when they were sent.
+    /// The overdue attempts at servers that have not responded since these were sent, each with its slot and send time.
     fn overdue_attempts(&self, now: Time) -> Vec<(AttemptKey, usize, Time)> {
         let is_overdue = |key: AttemptKey, attempt: &InFlightAttempt| {
             let server = self.fleet.server(attempt.server);
             let latency_objective = self.settings.classes[attempt.class].latency_objective;
             let work = self.pending.get(key.request).map_or(0.0, |p| self.expected_work(&p.request));
-            let usual = self.fleet.latencies.usual(attempt.class).max(self.fleet.latencies.median());
-            let expected = usual.max(work / latency_objective.as_ms());
-            let limit = overdue_after(latency_objective, expected, server.connections.in_flight());
+            let usual_latency = self.fleet.latencies.usual(attempt.class).max(self.fleet.latencies.median());
+            let expected_latency = usual_latency.max(work / latency_objective.as_ms());
+            let timeout = overdue_after(latency_objective, expected_latency, server.connections.in_flight());
             server.health.last_response_at() < attempt.sent_at
                 && !attempt.is_uploading
                 && !attempt.is_cancelled
-                && now.since(attempt.sent_at) > limit
+                && now.since(attempt.sent_at) > timeout
         };
         let overdue = self.pending.attempts().filter(|(key, attempt)| is_overdue(*key, attempt));
         overdue.map(|(key, attempt)| (key, attempt.server, attempt.sent_at)).collect()
     }
 
-    /// With sparse traffic a late response is known to be late before it comes; waiting for it would let an overload grow.
-    fn settle_late_attempts(&mut self, now: Time) {
+    /// With sparse traffic, records an attempt as late in the admission level as soon as it misses its latency
+    /// objective. Waiting for the response would let an overload grow.
+    fn record_late_attempts(&mut self, now: Time) {
         if !self.fleet.is_sparse() {
             return;
         }
         let classes = &self.settings.classes;
-        let late = self.pending.settle_late(|attempt| {
+        let late = self.pending.mark_late(|attempt| {
             !attempt.is_uploading && now.since(attempt.sent_at) > classes[attempt.class].latency_objective
         });
         for _ in 0..late {
-            self.fleet.admission_level.record(LATE, self.pending.in_flight_count(), true);
+            self.fleet.admission_level.record(LATE_LATENCY, self.pending.in_flight_count(), true);
         }
     }
 
-    fn follow_zone_change(&mut self, now: Time, change: ZoneChange, actions: &mut Vec<Action>) {
+    fn apply_zone_change(&mut self, now: Time, change: ZoneChange, actions: &mut Vec<Action>) {
         match change {
             ZoneChange::None => {}
             ZoneChange::Changed(zone) => self.fleet.clear_outliers(now, zone),
@@ -150,14 +153,14 @@
         }
     }
 
-    /// Cancels what is in flight in a zone that does not respond and may be sent elsewhere. That needs no retry budget,
-    /// as no server works on it. Nor do these attempts say anything of the other servers, whose admission level they
-    /// must not lower.
+    /// Cancels the attempts in an unresponsive zone whose requests may be retried elsewhere. These retries take nothing
+    /// from the retry budget, as no server is working on the cancelled attempts. All attempts in the zone are excluded
+    /// from the admission level, as they show nothing about the load of the other servers.
     fn cancel_in_zone(&mut self, now: Time, zone: ZoneId, actions: &mut Vec<Action>) {
-        let is_there = |attempt: &InFlightAttempt| {
+        let is_in_zone = |attempt: &InFlightAttempt| {
             !attempt.is_cancelled && self.fleet.server(attempt.server).endpoint.zone == zone
         };
-        let attempts = self.pending.attempts().filter(|(_, attempt)| is_there(attempt));
+        let attempts = self.pending.attempts().filter(|(_, attempt)| is_in_zone(attempt));
         let keys: Vec<AttemptKey> = attempts.map(|(key, _)| key).collect();
         for key in keys {
             self.retry_budget.grant();
@@ -165,7 +168,7 @@
                 self.retry_budget.spend();
             }
             if let Some(attempt) = self.pending.attempt_mut(key) {
-                attempt.is_level_settled = true;
+                attempt.is_excluded_from_level = true;
             }
         }
     }
@@ -191,11 +194,12 @@
             self.polling.record_success();
         }
         self.fleet.update_endpoints(now, entries, complete);
-        self.follow_open_servers(now, actions);
+        self.update_open_servers(now, actions);
     }
 
-    /// Follows a change of which servers are open, once the servers concerned have been indexed.
-    fn follow_open_servers(&mut self, now: Time, actions: &mut Vec<Action>) {
+    /// Updates the selection and the totals after the set of open servers has changed, and dispatches queued requests.
+    /// The changed servers must have been reindexed before.
+    fn update_open_servers(&mut self, now: Time, actions: &mut Vec<Action>) {
         let fleet = &self.fleet;
         self.selection.retain(|slot| fleet.server(slot).is_open);
         self.apply_due_changes(now);
@@ -203,7 +207,8 @@
         self.dispatch_queued(now, actions);
     }
 
-    /// Applies what time has changed: which servers have warmed up, and which were removed long enough ago.
+    /// Applies changes that depend on time alone: frees the slots of servers removed long enough ago, and ends the slow
+    /// start of servers that have warmed up.
     pub(super) fn apply_due_changes(&mut self, now: Time) {
         let load_queries = &self.load_queries;
         self.fleet.endpoints.free_slots(now, |slot| load_queries.has_candidate(slot));
@@ -219,7 +224,7 @@
         for zone in self.fleet.endpoints.set_regions(regions) {
             self.fleet.change_zone(zone, |_| {});
         }
-        self.follow_open_servers(now, actions);
+        self.update_open_servers(now, actions);
     }
 
     pub(super) fn cordon(&mut self, now: Time, server: ServerId, actions: &mut Vec<Action>) {
@@ -230,11 +235,11 @@
         if let Some(slot) = self.fleet.endpoints.slot(server) {
             self.fleet.reindex(slot);
         }
-        self.follow_open_servers(now, actions);
+        self.update_open_servers(now, actions);
     }
 
-    /// An uncordoned server has been restarted: what was learned of it says nothing and its connections are closed. It is
-    /// warming up from when it was uncordoned, or from a later start that the endpoint list has.
+    /// Lifts a cordon. The server was restarted meanwhile, so its state is reset and its idle connections are closed.
+    /// Its slow start begins at `at`, or at its start time in the endpoint list if that is later.
     pub(super) fn uncordon(&mut self, now: Time, server: ServerId, at: Time, actions: &mut Vec<Action>) {
         if !self.fleet.endpoints.uncordon(server) {
             return;
@@ -245,7 +250,7 @@
         restarted.slow_start.restore(at);
         self.fleet.schedule_first_try(slot, at, &mut self.rng);
         actions.push(Action::CloseIdleConnections { server });
-        self.follow_open_servers(now, actions);
+        self.update_open_servers(now, actions);
     }
 
     pub(super) fn evacuate_zone(&mut self, now: Time, zone: ZoneId, actions: &mut Vec<Action>) {
@@ -255,10 +260,11 @@
         self.fleet.change_zone(zone, |server| {
             actions.push(Action::CloseIdleConnections { server: server.endpoint.server });
         });
-        self.follow_open_servers(now, actions);
+        self.update_open_servers(now, actions);
     }
 
-    /// What was learned of a zone's servers stands when it is restored; but all balancers return in the same moment.
+    /// Ends the evacuation of a zone. Its servers keep their recorded state, but begin a slow start, since all
+    /// balancers return at the same time.
     pub(super) fn restore_zone(&mut self, now: Time, zone: ZoneId, at: Time, actions: &mut Vec<Action>) {
         if !self.fleet.endpoints.restore_zone(zone) {
             return;
@@ -267,6 +273,6 @@
         for slot in self.fleet.endpoints.in_zone(zone).to_vec() {
             self.fleet.schedule_first_try(slot, at, &mut self.rng);
         }
-        self.follow_open_servers(now, actions);
+        self.update_open_servers(now, actions);
     }
 }
--- a/src/concurrency.rs
+++ b/src/concurrency.rs
@@ -1,57 +1,64 @@
-//! Concurrency limits: how many own requests each server may have at once, and the admission level that scales them all.
+//! Concurrency limits: how many of this balancer's requests each server may have at once, and the admission level that
+//! scales all limits.
 //!
-//! A limit follows from how much longer than on an idle server responses take: below a target it grows while it is in
-//! use, above it shrinks. A balancer sees few responses of each server but many of the fleet, so an overload of most
-//! servers shows in the admission level within a few round trips, where single limits would take half a minute.
+//! A server's limit follows its latency: while that is below a target between the latency of the idle server and the
+//! latency objective, a limit in use grows; above the target it shrinks. A balancer sees few responses of each server
+//! but many of the whole fleet. The admission level therefore reacts to an overload of most servers within a few round
+//! trips, where the limits alone would take half a minute.
 
-use crate::latency::LATE;
+use crate::latency::LATE_LATENCY;
 use crate::{Outcome, Settings, Span, Time};
 
-/// The target latency lies this far between the latency of an idle server and the latency objective.
-const TARGET: f64 = 0.25;
-/// What a late response or a full queue leaves of a limit.
-const LATE_REDUCTION: f64 = 0.85;
-/// A limit in full use grows by this much in the time that it takes to use it once.
-const GROWTH: f64 = 0.1;
-/// And shrinks by this fraction of its overshoot a response; 0.04 and 0.08 cost more than they save.
-const SHRINK: f64 = 0.02;
-/// The largest overshoot that counts.
+/// The target latency of a server: this fraction of the way from its idle latency to the latency objective.
+const TARGET_LATENCY_FRACTION: f64 = 0.25;
+/// A late response or a full queue multiplies a limit by this.
+const LATE_REDUCTION_FACTOR: f64 = 0.85;
+/// How much a limit in full use grows during as many responses as it allows requests at once.
+const GROWTH_PER_ROUND_TRIP: f64 = 0.1;
+/// Each response above the target shrinks a limit by this fraction times the overshoot. 0.04 and 0.08 cost more than
+/// they saved.
+const SHRINK_PER_RESPONSE: f64 = 0.02;
+/// The largest overshoot that counts; an overshoot of one is twice the target latency.
 const MAX_OVERSHOOT: f64 = 2.0;
-/// A limit is in use from this fraction of it on.
-const IN_USE: f64 = 0.7;
-/// The limit of a server that nothing is known of.
+/// A limit counts as in use, and may grow, if at least this fraction of it is used.
+const MIN_USED_FRACTION: f64 = 0.7;
+/// The limit of a server before its first response.
 const INITIAL_LIMIT: f64 = 2.0;
-/// Up to here a limit that was never reduced grows by `FAST_GROWTH` a response. That ends well before a server that
-/// becomes unresponsive could hold a good part of all requests.
+/// Below this, a limit that was never reduced grows by [`FAST_GROWTH_PER_RESPONSE`]. The bound is low enough that a
+/// server that becomes unresponsive cannot hold a large part of all requests.
 const FAST_GROWTH_LIMIT: f64 = 6.0;
-const FAST_GROWTH: f64 = 0.5;
+const FAST_GROWTH_PER_RESPONSE: f64 = 0.5;
 /// The highest limit.
 pub(crate) const MAX_LIMIT: f64 = 1000.0;
-/// In a round trip of slow responses (over twice the target) the admission level loses this fraction of itself, and in
-/// one of good ones it gains `LEVEL_GROWTH` of its root: a quarter of slow responses holds it, low levels catch up.
+/// The fraction of the admission level that it loses in a round trip of slow responses: those whose latency is at least
+/// twice [`TARGET_LATENCY_FRACTION`]. In a round trip of good ones it gains [`LEVEL_GROWTH`] times its square root. The
+/// level is stable at a quarter of slow responses, and the root lets low levels recover faster.
 const LEVEL_REDUCTION: f64 = 0.6;
 const LEVEL_GROWTH: f64 = 0.2;
-/// What it loses with sparse traffic, where late responses are the slow ones: one in seven holds it. Servers that are
-/// congested for long may become slower and stay so, and an overload fed by a quarter of late responses never ends.
+/// The same with sparse traffic, where only late responses count as slow. The level is stable at one late response in
+/// seven. Servers that are congested for long may become slower and stay so, and an overload that is kept up by a
+/// quarter of late responses would never end.
 const LEVEL_REDUCTION_SPARSE: f64 = 1.2;
-/// With sparse traffic a round trip is this many responses at least, or a few that are late by chance would shut the
-/// balancer; and it always admits this fraction, or it would never see an overload end.
+/// The least number of responses in a round trip with sparse traffic. With fewer, some responses that are late by
+/// chance would make the balancer reject nearly everything.
 const MIN_ROUND_TRIP_SPARSE: usize = 8;
+/// The lowest admission level with sparse traffic. At zero a balancer would never see that an overload has ended.
 const MIN_LEVEL_SPARSE: f64 = 0.02;
 
-/// The admission level: the fraction of all concurrency limits that is in force.
+/// The admission level: the factor that scales all concurrency limits, or with sparse traffic the fraction of requests
+/// that is admitted.
 pub(crate) struct AdmissionLevel {
     level: f64,
     min_limit: f64,
 }
 
 impl AdmissionLevel {
-    /// Everything is admitted.
+    /// Creates a level of one, which admits everything.
     pub(crate) fn new(settings: &Settings) -> Self {
         AdmissionLevel { level: 1.0, min_limit: min_limit(settings) }
     }
 
-    /// The level, above 0 and up to 1.
+    /// The level, above zero and at most one.
     pub(crate) fn value(&self) -> f64 {
         self.level
     }
@@ -65,11 +72,12 @@
         }
     }
 
-    /// Moves the level by one response of this latency, while so many others are in flight.
+    /// Adjusts the level to a response of this latency, a fraction of the latency objective, while `in_flight` other
+    /// attempts are in flight.
     pub(crate) fn record(&mut self, latency: f64, in_flight: usize, is_sparse: bool) {
         let (slow_latency, reduction, min_round_trip) = match is_sparse {
-            true => (LATE, LEVEL_REDUCTION_SPARSE, MIN_ROUND_TRIP_SPARSE),
-            false => (2.0 * TARGET, LEVEL_REDUCTION, 0),
+            true => (LATE_LATENCY, LEVEL_REDUCTION_SPARSE, MIN_ROUND_TRIP_SPARSE),
+            false => (2.0 * TARGET_LATENCY_FRACTION, LEVEL_REDUCTION, 0),
         };
         let change = match latency >= slow_latency {
             true => -reduction * self.level,
@@ -85,54 +93,57 @@
     }
 }
 
-/// The lowest limit of a server: this balancer's share of one request at a time.
+/// The lowest concurrency limit of a server: this balancer's share if all balancers together send it one request at a
+/// time.
 pub(crate) fn min_limit(settings: &Settings) -> f64 {
     1.0 / f64::from(settings.balancers.max(1))
 }
 
-/// What an attempt that has ended says of its server's limit.
+/// What the concurrency limit of a server is updated with after an attempt has ended. The latencies are fractions of
+/// the latency objective.
 pub(crate) struct LimitSample {
     pub(crate) now: Time,
     pub(crate) sent_at: Time,
     pub(crate) outcome: Outcome,
     pub(crate) elapsed: Span,
     pub(crate) latency_objective: Span,
-    /// The latency as a fraction of the objective.
+    /// The latency of this attempt.
     pub(crate) latency: f64,
-    /// The smoothed latency of the server, this one included.
+    /// The smoothed latency of the server, including this attempt.
     pub(crate) smoothed_latency: f64,
-    /// The latency that the server shows when it is idle.
+    /// The expected latency of the server when it is idle.
     pub(crate) idle_latency: f64,
     /// The usual latency of the class.
     pub(crate) usual_latency: f64,
-    /// Own requests that the server is still working on.
+    /// The number of this balancer's requests that the server is still working on.
     pub(crate) at_work: u32,
 }
 
-/// The concurrency limit of one server. Below one it is kept by rests after each response.
+/// The concurrency limit of one server. A limit below one is enforced by a pause after each response.
 pub(crate) struct ServerLimit {
     limit: f64,
     /// When a late response or a full queue last reduced it.
     reduced_at: Option<Time>,
-    rest_until: Time,
-    /// When its last response came, and what that took.
+    paused_until: Time,
+    /// When the last attempt with a latency ended.
     last_sample_at: Time,
+    /// The latency of that attempt, or the latency objective if it was rejected.
     last_latency_ms: f64,
 }
 
 impl ServerLimit {
-    /// The limit of a server that nothing is known of.
+    /// The limit of a server before its first response.
     pub(crate) fn new(now: Time) -> Self {
         ServerLimit {
             limit: INITIAL_LIMIT,
             reduced_at: None,
-            rest_until: now,
+            paused_until: now,
             last_sample_at: now,
             last_latency_ms: 0.0,
         }
     }
 
-    /// Own requests that the server may have at an admission level of one.
+    /// How many of this balancer's requests the server may have at once at an admission level of one.
     pub(crate) fn value(&self) -> f64 {
         self.limit
     }
@@ -142,7 +153,7 @@
         self.reduced_at.is_some()
     }
 
-    /// When the last response came.
+    /// When the last attempt with a latency ended.
     pub(crate) fn last_sample_at(&self) -> Time {
         self.last_sample_at
     }
@@ -153,56 +164,60 @@
         self.reduced_at = was_reduced.then_some(Time(0));
     }
 
-    /// The server is full: it is sent nothing for this long.
-    pub(crate) fn rest(&mut self, now: Time, duration: Span) {
-        self.rest_until = now + duration;
+    /// Pauses the server because it is full: it is sent nothing for `duration`.
+    pub(crate) fn pause(&mut self, now: Time, duration: Span) {
+        self.paused_until = now + duration;
     }
 
-    /// Whether the server is not resting after it was full; all that limits it with sparse traffic.
-    pub(crate) fn is_rested(&self, now: Time) -> bool {
-        now >= self.rest_until
+    /// Whether the pause after the server was last full is over. With sparse traffic, nothing else limits the server.
+    pub(crate) fn is_pause_over(&self, now: Time) -> bool {
+        now >= self.paused_until
     }
 
-    /// Whether the limit leaves capacity for one more request beside those `at_work`. The rests of a limit below one
-    /// follow from the limit as it is now, or one late response at a low level would rest a server for a minute.
+    /// Whether the limit allows one more request besides the `at_work` ones. If the limit is below one, the length of
+    /// the pause is computed from the current limit and level rather than fixed at the last response; otherwise one
+    /// late response at a low level would pause a server for a minute.
     pub(crate) fn has_capacity(&self, now: Time, level: f64, slow_start_factor: f64, at_work: u32) -> bool {
         let limit = self.limit * level;
-        let rest_ms = self.last_latency_ms * (1.0 / limit - 1.0).max(0.0);
-        now.since(self.last_sample_at).as_ms() >= rest_ms
-            && self.is_rested(now)
+        let pause_ms = self.last_latency_ms * (1.0 / limit - 1.0).max(0.0);
+        now.since(self.last_sample_at).as_ms() >= pause_ms
+            && self.is_pause_over(now)
             && f64::from(at_work) + 1.0 <= (limit * slow_start_factor).max(1.0)
     }
 
-    /// Takes in how an attempt ended.
+    /// Updates the limit after an attempt has ended.
     pub(crate) fn record(&mut self, sample: &LimitSample, min_limit: f64) {
-        let target = sample.idle_latency + TARGET * (1.0 - sample.idle_latency);
+        let target = sample.idle_latency + TARGET_LATENCY_FRACTION * (1.0 - sample.idle_latency);
         let overshoot = (sample.smoothed_latency / target - 1.0).min(MAX_OVERSHOOT);
         self.reduce(sample, target, overshoot, min_limit);
-        let is_in_use = f64::from(sample.at_work) + 1.0 >= (IN_USE * self.limit).floor();
-        if overshoot <= 0.0 && sample.latency < LATE && is_in_use {
+        let is_in_use = f64::from(sample.at_work) + 1.0 >= (MIN_USED_FRACTION * self.limit).floor();
+        if overshoot <= 0.0 && sample.latency < LATE_LATENCY && is_in_use {
             self.grow();
         }
         (self.last_sample_at, self.last_latency_ms) = (sample.now, sample.elapsed.as_ms());
         if sample.outcome == Outcome::Rejected {
-            // A full server rests in any case, or what it rejects would go round the fleet at once.
+            // A full server is always paused. Otherwise its rejected requests would be retried across the whole fleet
+            // at once.
             self.last_latency_ms = sample.latency_objective.as_ms();
-            self.rest(sample.now, Span::from_ms(self.last_latency_ms * sample.usual_latency));
+            self.pause(sample.now, Span::from_ms(self.last_latency_ms * sample.usual_latency));
         }
     }
 
-    /// Reduces the limit by how slow the server is. It follows the slower of this response and the smoothed latency's
-    /// lag, or that lag would drive the limit down too far. A full queue is certain evidence and counts at once, a late
-    /// response only at a slow server: alone it may be a costly request.
+    /// Reduces the limit if the server is too slow. The reduction follows the smaller overshoot of this response and of
+    /// the smoothed latency, whose lag would otherwise drive the limit down too far. A rejection by a full queue,
+    /// a timeout and a cancellation are conclusive on their own. A late successful response is conclusive only if the
+    /// smoothed latency is above the target too, as it may be a single costly request.
     fn reduce(&mut self, sample: &LimitSample, target: f64, overshoot: f64, min_limit: f64) {
-        let is_certain = sample.latency >= LATE && (overshoot > 0.0 || sample.outcome != Outcome::Success);
-        // What was sent before the last reduction says the same once more.
-        let is_known = self.reduced_at.is_some_and(|at| sample.sent_at < at);
-        let factor = match (is_certain, is_known) {
+        let is_conclusive =
+            sample.latency >= LATE_LATENCY && (overshoot > 0.0 || sample.outcome != Outcome::Success);
+        // An attempt sent before the last reduction met the same congestion, which must not reduce the limit twice.
+        let is_already_counted = self.reduced_at.is_some_and(|at| sample.sent_at < at);
+        let factor = match (is_conclusive, is_already_counted) {
             (true, true) => 1.0,
-            (true, false) => LATE_REDUCTION,
-            (false, _) => 1.0 - SHRINK * overshoot.min(sample.latency / target - 1.0).max(0.0),
+            (true, false) => LATE_REDUCTION_FACTOR,
+            (false, _) => 1.0 - SHRINK_PER_RESPONSE * overshoot.min(sample.latency / target - 1.0).max(0.0),
         };
-        if is_certain && !is_known {
+        if is_conclusive && !is_already_counted {
             self.reduced_at = Some(sample.now);
         }
         self.limit = (self.limit * factor).max(min_limit);
@@ -210,7 +225,8 @@
 
     fn grow(&mut self) {
         let is_fast = !self.was_reduced() && self.limit < FAST_GROWTH_LIMIT;
-        let growth = if is_fast { FAST_GROWTH } else { GROWTH / self.limit.max(1.0) };
+        let growth =
+            if is_fast { FAST_GROWTH_PER_RESPONSE } else { GROWTH_PER_ROUND_TRIP / self.limit.max(1.0) };
         self.limit = (self.limit + growth).min(MAX_LIMIT);
     }
 }
--- a/src/concurrency/tests.rs
+++ b/src/concurrency/tests.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// The limit after so many samples, each with the limit in full use.
+/// The limit after this number of samples, each with the limit in full use.
 fn limit_after(samples: u32, outcome: Outcome, latency: f64) -> f64 {
     let mut limit = ServerLimit::new(NOW);
     (0..samples).for_each(|_| limit.record(&sample(outcome, latency, limit.value() as u32), 0.01));
@@ -41,11 +41,11 @@
 }
 
 #[test]
-fn late_responses_that_were_sent_before_a_reduction_reduce_the_limit_once() {
+fn late_attempts_sent_before_a_reduction_do_not_reduce_the_limit_again() {
     let mut limit = ServerLimit::new(NOW);
     limit.restore(10.0, false);
-    (0..5).for_each(|_| limit.record(&sample(Outcome::TimedOut, LATE, 3), 0.01));
-    assert_eq!(limit.value(), 10.0 * LATE_REDUCTION);
+    (0..5).for_each(|_| limit.record(&sample(Outcome::TimedOut, LATE_LATENCY, 3), 0.01));
+    assert_eq!(limit.value(), 10.0 * LATE_REDUCTION_FACTOR);
 }
 
 #[test]
@@ -53,35 +53,32 @@
     let mut limit = ServerLimit::new(NOW);
     for i in 1..200 {
         let (now, sent_at) = (NOW + OBJECTIVE * f64::from(i + 1), NOW + OBJECTIVE * f64::from(i));
-        limit.record(&LimitSample { now, sent_at, ..sample(Outcome::TimedOut, LATE, 0) }, 0.1);
+        limit.record(&LimitSample { now, sent_at, ..sample(Outcome::TimedOut, LATE_LATENCY, 0) }, 0.1);
     }
     assert_eq!(limit.value(), 0.1);
 }
 
 #[test]
-fn a_limit_below_one_is_kept_by_rests() {
+fn a_limit_below_one_is_enforced_by_pauses() {
     let mut limit = ServerLimit::new(NOW);
     limit.restore(0.5, true);
     limit.record(&sample(Outcome::Success, 0.2, 5), 0.5);
     let latency = OBJECTIVE * 0.2;
     let has_capacity = |after: Span| limit.has_capacity(NOW + after, 0.5, 1.0, 0);
-    assert!(
-        !has_capacity(latency * 2.0),
-        "a quarter of a request at a time rests three times as long as it took"
-    );
+    assert!(!has_capacity(latency * 2.0), "a limit of a quarter pauses for three times the latency");
     assert!(has_capacity(latency * 3.0));
 }
 
 #[test]
-fn a_full_server_rests() {
+fn a_full_server_is_paused() {
     let mut limit = ServerLimit::new(NOW);
-    limit.record(&sample(Outcome::Rejected, LATE, 0), 0.01);
-    assert!(!limit.is_rested(NOW));
-    assert!(limit.is_rested(NOW + OBJECTIVE * 0.2));
+    limit.record(&sample(Outcome::Rejected, LATE_LATENCY, 0), 0.01);
+    assert!(!limit.is_pause_over(NOW));
+    assert!(limit.is_pause_over(NOW + OBJECTIVE * 0.2));
 }
 
 #[test]
-fn a_quarter_of_slow_responses_holds_the_level_and_more_lower_it() {
+fn few_slow_responses_keep_the_level_high_and_many_lower_it() {
     let level_after = |slow_of_eight: u32| {
         let mut level = AdmissionLevel::new(&Settings { balancers: 100, ..Settings::default() });
         for i in 0..800 {
@@ -95,9 +92,9 @@
 }
 
 #[test]
-fn a_balancer_with_sparse_traffic_always_admits_some() {
+fn with_sparse_traffic_the_level_keeps_its_minimum_and_recovers() {
     let mut level = AdmissionLevel::new(&Settings { balancers: 1000, ..Settings::default() });
-    (0..500).for_each(|_| level.record(LATE, 0, true));
+    (0..500).for_each(|_| level.record(LATE_LATENCY, 0, true));
     assert_eq!(level.value(), MIN_LEVEL_SPARSE);
     (0..500).for_each(|_| level.record(0.2, 0, true));
     assert_eq!(level.value(), 1.0);
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,12 +1,13 @@
-//! What is known of the servers, and whether one may be sent a request now.
+//! The state of all servers, and whether a server may be sent a request now.
 //!
-//! A [`Fleet`] holds the parts that keep state of servers and passes each of them what it needs of the others.
+//! A [`Fleet`] owns the components that keep state about servers, and passes each of them what it needs from the
+//! others.
 
 mod views;
 
 use crate::concurrency::{self, AdmissionLevel, LimitSample};
 use crate::endpoints::Endpoints;
-use crate::latency::{Latencies, ServerLatency, LATE};
+use crate::latency::{Latencies, ServerLatency, LATE_LATENCY};
 use crate::load_report::LoadReports;
 use crate::outliers::{OutlierReason, Outliers, ProbationResult};
 use crate::pending::InFlightAttempt;
@@ -17,7 +18,7 @@
 use crate::{Action, Endpoint, Outcome, Settings, Span, Time, ZoneId};
 use std::sync::Arc;
 
-/// All that is known of the servers.
+/// The components that keep state about servers.
 pub(crate) struct Fleet {
     settings: Arc<Settings>,
     pub(crate) endpoints: Endpoints,
@@ -38,7 +39,7 @@
 }
 
 impl Fleet {
-    /// Nothing is known.
+    /// Creates a fleet without servers.
     pub(crate) fn new(settings: Arc<Settings>) -> Self {
         Fleet {
             endpoints: Endpoints::new(&settings),
@@ -57,48 +58,49 @@
         self.endpoints.server(slot)
     }
 
-    /// There are more balancers than servers.
+    /// Whether traffic is sparse: there are more balancers than servers, so each balancer sees few responses per
+    /// server.
     pub(crate) fn is_sparse(&self) -> bool {
         self.endpoints.is_sparse()
     }
 
-    /// The fraction of its capacity that a server has for certain.
+    /// The fraction of its capacity that a server certainly has: below one while it is warming up.
     pub(crate) fn slow_start_factor(&self, now: Time, server: &Server) -> f64 {
         self.slow_start.factor(&server.slow_start, server.endpoint.started, now)
     }
 
-    /// Whether a server may be sent this request now, ejected or not.
+    /// Whether a server may be sent this request now, except that it may be ejected.
     pub(crate) fn is_allowed(&self, now: Time, slot: usize, request: &SelectionRequest) -> bool {
         let server = self.server(slot);
         request.scope.contains(&server.endpoint) && server.is_open && self.has_capacity(now, server, request)
     }
 
-    /// Whether a server may be sent this request now.
+    /// Whether a server may be sent this request now. An ejected server takes only probation requests.
     pub(crate) fn is_ready(&self, now: Time, slot: usize, request: &SelectionRequest) -> bool {
         let permits_request = || self.server(slot).health.permits_request(now, request.is_idempotent);
         self.is_allowed(now, slot, request) && (self.is_sparse() || permits_request())
     }
 
-    /// Whether a server has capacity for a request by its limit and by its slow-start budget. With sparse traffic its limit
-    /// says nothing, and only a server that was full is given a rest.
+    /// Whether the concurrency limit and the slow-start budget of a server allow one more request. With sparse traffic
+    /// the limit is not enforced; a server is only paused after it was full.
     fn has_capacity(&self, now: Time, server: &Server, request: &SelectionRequest) -> bool {
         let factor = self.slow_start_factor(now, server);
         let open_servers = self.endpoints.open().len();
         let (slow_start, budget) = (&server.slow_start, &self.slow_start);
         if self.is_sparse() {
-            return server.limit.is_rested(now)
+            return server.limit.is_pause_over(now)
                 && budget.has_sparse_budget(now, slow_start, factor, open_servers, request.mean_work);
         }
         server.limit.has_capacity(now, self.admission_level.value(), factor, server.connections.at_work())
             && budget.has_budget(now, slow_start, factor, open_servers, request.work)
     }
 
-    /// A server that this request is to try first after operators have restored it.
+    /// A server that operators have restored, whose first try is due and may be made with this request.
     pub(crate) fn due_first_try(&self, now: Time, request: &SelectionRequest) -> Option<usize> {
         self.slow_start.due_first_tries(now).find(|slot| self.is_ready(now, *slot, request))
     }
 
-    /// A server for a probation request of a zone that is due for one.
+    /// Selects a server for a probation request if a zone is due for one. Only the first attempt of a request is used.
     pub(crate) fn zone_probation(
         &mut self,
         now: Time,
@@ -114,19 +116,19 @@
         Some(slot)
     }
 
-    /// A random open server of a zone among those that are fit.
+    /// Draws a random open server of a zone from those that `is_eligible` accepts.
     pub(crate) fn draw_in_zone(
         &self,
         zone: ZoneId,
         rng: &mut fastrand::Rng,
-        is_fit: impl Fn(&Self, usize) -> bool,
+        is_eligible: impl Fn(&Self, usize) -> bool,
     ) -> Option<usize> {
         let open = self.endpoints.open_by_zone().members(zone).iter().copied();
-        let fit: Vec<usize> = open.filter(|slot| is_fit(self, *slot)).collect();
-        fit.get(rng.usize(0..fit.len().max(1))).copied()
+        let eligible: Vec<usize> = open.filter(|slot| is_eligible(self, *slot)).collect();
+        eligible.get(rng.usize(0..eligible.len().max(1))).copied()
     }
 
-    /// Takes in that a server is sent an attempt with this work; true if it is a probation request.
+    /// Records that a server is sent an attempt with this work. Returns whether it is a probation request.
     pub(crate) fn record_send(&mut self, now: Time, slot: usize, work: f64, is_uploading: bool) -> bool {
         let takes_idle = self.server(slot).connections.has_idle(now, self.settings.keepalive);
         let factor = self.slow_start_factor(now, self.server(slot));
@@ -139,7 +141,7 @@
         server.health.record_send()
     }
 
-    /// Lets the zone of a server learn from the end of an attempt there.
+    /// Records the end of an attempt in the zone of its server.
     pub(crate) fn record_zone_outcome(
         &mut self,
         attempt: &InFlightAttempt,
@@ -167,7 +169,7 @@
         self.zones.record_outcome(&mut context, attempt, outcome, actions)
     }
 
-    /// Lets the zone of a server learn that an attempt there has had no response for too long.
+    /// Records in the zone of a server that an attempt there is overdue.
     pub(crate) fn record_zone_unanswered(
         &mut self,
         now: Time,
@@ -188,8 +190,8 @@
         change.unwrap_or(ZoneChange::None)
     }
 
-    /// Takes in what the end of an attempt says of its server: latency, concurrency limit and failures. Returns the
-    /// reason if the server is an outlier.
+    /// Updates the latency, the concurrency limit and the failures of a server after an attempt has ended, and with
+    /// them the admission level. Returns the reason if the server is an outlier.
     pub(crate) fn record_server_outcome(
         &mut self,
         attempt: &InFlightAttempt,
@@ -200,19 +202,19 @@
         let latency_objective = self.settings.classes[attempt.class].latency_objective;
         let is_sparse = self.is_sparse();
         let latency = latency_fraction(outcome, elapsed, latency_objective);
-        let says_little = is_sparse && outcome == Outcome::Rejected && !attempt.is_retry;
-        if latency > 0.0 && !attempt.is_level_settled && !says_little {
+        let is_weak_evidence = is_sparse && outcome == Outcome::Rejected && !attempt.is_retry;
+        if latency > 0.0 && !attempt.is_excluded_from_level && !is_weak_evidence {
             self.admission_level.record(latency, in_flight, is_sparse);
         }
         let server = self.endpoints.server_mut(attempt.server);
         let idle_latency = self.latencies.idle(attempt.class, &server.latency);
-        let responds = now.since(server.health.last_response_at()) < latency_objective;
-        let has_requests = server.connections.at_work() > 0;
-        if outcome == Outcome::ConnectFailed && is_sparse && has_requests && responds {
-            // While it responds on other connections it is full and neither dead nor cut off.
-            server.limit.rest(now, latency_objective);
+        let is_responsive = now.since(server.health.last_response_at()) < latency_objective;
+        let has_other_requests = server.connections.at_work() > 0;
+        if outcome == Outcome::ConnectFailed && is_sparse && has_other_requests && is_responsive {
+            // It responds on other connections, so it is full rather than down or unreachable.
+            server.limit.pause(now, latency_objective);
         } else {
-            server.health.record_outcome(now, outcome, latency < LATE);
+            server.health.record_outcome(now, outcome, latency < LATE_LATENCY);
         }
         if outcome == Outcome::Success {
             self.latencies.record_success(attempt.class, &mut server.latency, latency);
@@ -240,7 +242,7 @@
         self.detect_outlier(attempt.server, outcome, latency)
     }
 
-    /// Takes in how a probation request ended.
+    /// Records the result of a probation request. If it passed, the latency of the server starts anew.
     fn end_probation(&mut self, now: Time, slot: usize, outcome: Outcome, latency: f64) {
         let server = self.endpoints.server_mut(slot);
         let result = match outcome {
@@ -254,15 +256,15 @@
         }
     }
 
-    /// What the end of an attempt makes of its server.
+    /// Whether a server is an outlier after an attempt there has ended, and for which reason.
     fn detect_outlier(&mut self, slot: usize, outcome: Outcome, latency: f64) -> Option<OutlierReason> {
         let is_sparse = self.is_sparse();
         let server = self.endpoints.server(slot);
         let is_slow = self.latencies.is_slow(&server.latency);
-        let is_late = is_sparse && latency >= LATE && outcome != Outcome::Rejected;
+        let is_late = is_sparse && latency >= LATE_LATENCY && outcome != Outcome::Rejected;
         let is_failure = outcome.is_failure();
-        let says_whether = (is_failure || latency > 0.0).then_some(is_failure);
-        let is_failing = self.outliers.has_failed_too_often(&server.health, says_whether, is_sparse);
+        let failure_evidence = (is_failure || latency > 0.0).then_some(is_failure);
+        let is_failing = self.outliers.has_failed_too_often(&server.health, failure_evidence, is_sparse);
         match (is_slow, is_failing || is_late) {
             (true, _) => Some(OutlierReason::Slow),
             (false, true) => Some(OutlierReason::Failing),
@@ -270,7 +272,7 @@
         }
     }
 
-    /// Takes in that a response was aborted after a good beginning; true if its server is an outlier.
+    /// Records that a response was aborted after it had begun as a success. Returns whether its server is an outlier.
     pub(crate) fn record_aborted_response(&mut self, slot: usize) -> bool {
         let is_sparse = self.is_sparse();
         let health = &mut self.endpoints.server_mut(slot).health;
@@ -278,8 +280,8 @@
         self.outliers.has_failed_too_often(health, Some(true), is_sparse)
     }
 
-    /// Ejects an outlier, unless too many servers are ejected already; with sparse traffic suspects it. True if one of
-    /// these was done.
+    /// Ejects an outlier, unless it is ejected already or too many servers are; with sparse traffic, marks it as
+    /// suspected instead. Returns whether it was ejected or marked.
     pub(crate) fn handle_outlier(
         &mut self,
         now: Time,
@@ -309,12 +311,12 @@
         true
     }
 
-    /// Ends ejection and suspicion in a zone: what its servers were suspected of was the zone's.
+    /// Ends ejection and suspicion for all servers of a zone, as the zone and not its servers caused the failures.
     pub(crate) fn clear_outliers(&mut self, now: Time, zone: ZoneId) {
         self.change_zone(zone, |server| server.health.clear(now));
     }
 
-    /// Takes in entries of the endpoint list.
+    /// Applies entries of the endpoint list. If the list is `complete`, servers that are not in it are removed.
     pub(crate) fn update_endpoints(&mut self, now: Time, entries: Vec<Endpoint>, complete: bool) {
         for slot in self.endpoints.update(now, entries, complete) {
             self.reindex(slot);
@@ -324,7 +326,7 @@
         self.zones.retain(|zone| endpoints.has_listed_in(zone));
     }
 
-    /// Changes each server of a zone.
+    /// Applies `change` to each server of a zone and reindexes it.
     pub(crate) fn change_zone(&mut self, zone: ZoneId, mut change: impl FnMut(&mut Server)) {
         for slot in self.endpoints.in_zone(zone).to_vec() {
             change(self.endpoints.server_mut(slot));
@@ -332,13 +334,13 @@
         }
     }
 
-    /// Lets a few of all balancers try a server soon that operators have restored.
+    /// May schedule a first try of a server that operators have restored; only a few of all balancers make one.
     pub(crate) fn schedule_first_try(&mut self, slot: usize, at: Time, rng: &mut fastrand::Rng) {
         self.slow_start.schedule_first_try(&mut self.endpoints.server_mut(slot).slow_start, at, rng);
         self.reindex(slot);
     }
 
-    /// Updates all indexes over the servers after a change of one, or of what operators say of it.
+    /// Updates all indexes after a server has changed, or operators have held it back or restored it.
     pub(crate) fn reindex(&mut self, slot: usize) {
         self.endpoints.reindex(slot);
         let server = self.endpoints.server(slot);
@@ -347,19 +349,20 @@
         self.latencies.mark_changed(slot);
     }
 
-    /// Updates the median latency of the servers that serve.
+    /// Updates the median latency over the serving servers.
     pub(crate) fn update_median_latency(&mut self) {
         let endpoints = &self.endpoints;
         self.latencies.update_median(|slot| endpoints.server(slot).judged_latency());
     }
 }
 
-/// The latency that an outcome shows, as a fraction of the latency objective; zero if it shows none.
+/// The latency of an outcome as a fraction of the latency objective, at most [`LATE_LATENCY`]. Zero if the outcome says
+/// nothing about latency.
 fn latency_fraction(outcome: Outcome, elapsed: Span, latency_objective: Span) -> f64 {
     match outcome {
-        Outcome::Success => (elapsed.as_ms() / latency_objective.as_ms()).min(LATE),
-        // Cancelled does not mean stopped: the work may still be in the server's queue.
-        Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled => LATE,
+        Outcome::Success => (elapsed.as_ms() / latency_objective.as_ms()).min(LATE_LATENCY),
+        // Cancelling does not stop the work: it may still be in the server's queue.
+        Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled => LATE_LATENCY,
         _ => 0.0,
     }
 }
--- a/src/fleet/views.rs
+++ b/src/fleet/views.rs
@@ -1,14 +1,15 @@
-//! What a fleet shows of itself: to operators, and to the next process.
+//! Snapshots of the fleet for the next process, and views for operators.
 
 use super::Fleet;
 use crate::concurrency::{self, MAX_LIMIT};
-use crate::latency::{ServerLatency, LATE};
+use crate::latency::{ServerLatency, LATE_LATENCY};
 use crate::server::Server;
 use crate::snapshot::{self, SnapshotBounds};
 use crate::{EndpointCounts, ServerSnapshot, ServerView, Snapshot, Time};
 
 impl Fleet {
-    /// What the process that replaces this one should know; of a large fleet the servers that most is known of.
+    /// The state to restore in the process that replaces this one. In a large fleet it holds only the most relevant
+    /// servers.
     pub(crate) fn snapshot(&self, now: Time) -> Snapshot {
         let mut servers: Vec<&Server> =
             self.endpoints.servers().iter().filter(|server| server.is_open).collect();
@@ -22,16 +23,16 @@
         }
     }
 
-    /// Restores what another balancer has learned, server by server as long as its process is the same; what is not
-    /// usable is left out.
+    /// Restores the state of a previous process. A server's state is only restored if the server has not been restarted
+    /// since the snapshot and nothing is recorded about it yet. Unusable values are ignored.
     pub(crate) fn restore(&mut self, now: Time, snapshot: Snapshot) {
         if let Some(level) = snapshot.usable_level(self.admission_level.min(self.is_sparse())) {
             self.admission_level.restore(level);
         }
-        if let Some(median) = snapshot.usable_median(LATE) {
+        if let Some(median) = snapshot.usable_median(LATE_LATENCY) {
             self.latencies.restore_median(median);
         }
-        if let Some(latencies) = snapshot.usable_class_latencies(self.settings.classes.len(), LATE) {
+        if let Some(latencies) = snapshot.usable_class_latencies(self.settings.classes.len(), LATE_LATENCY) {
             self.latencies.restore_classes(&latencies);
         }
         if let Some(work) = snapshot.usable_warm_sent() {
@@ -50,7 +51,7 @@
             return;
         }
         let min_limit = concurrency::min_limit(&self.settings);
-        let bounds = SnapshotBounds { min_limit, max_limit: MAX_LIMIT, max_latency: LATE };
+        let bounds = SnapshotBounds { min_limit, max_limit: MAX_LIMIT, max_latency: LATE_LATENCY };
         let Some(snapshot) = snapshot.bounded(&bounds) else { return };
         server.limit.restore(snapshot.limit, snapshot.was_reduced);
         server.latency = ServerLatency::restored(snapshot.slowdown, snapshot.latency, snapshot.samples);
@@ -63,7 +64,8 @@
         self.reindex(slot);
     }
 
-    /// The number of servers, and of those that are sent nothing or next to nothing for now, whoever decided that.
+    /// The number of listed servers, and of those that are currently sent few requests or none: servers that are not
+    /// open and outliers.
     pub(crate) fn endpoint_counts(&self, now: Time) -> EndpointCounts {
         let is_avoided = |server: &&Server| !server.is_open || self.is_outlier(now, server);
         EndpointCounts {
@@ -76,7 +78,7 @@
         server.health.is_ejected() || (self.is_sparse() && server.health.is_suspected(now))
     }
 
-    /// Each server that the endpoint list has.
+    /// The state of each server in the endpoint list.
     pub(crate) fn server_views(&self, now: Time) -> Vec<ServerView> {
         let view = |server: &Server| ServerView {
             server: server.endpoint.server,
--- a/src/latency/tests.rs
+++ b/src/latency/tests.rs
@@ -19,20 +19,20 @@
 }
 
 #[test]
-fn a_server_is_slow_only_after_several_responses_and_next_to_the_others() {
+fn a_server_is_slow_only_after_several_responses_and_compared_with_the_median() {
     let (mut latencies, mut server) = (latencies(), ServerLatency::new());
     for _ in 0..3 {
-        latencies.record_latency(KindId(0), &mut server, LATE);
+        latencies.record_latency(KindId(0), &mut server, LATE_LATENCY);
         assert!(!latencies.is_slow(&server), "after {} responses", server.samples());
     }
-    latencies.record_latency(KindId(0), &mut server, LATE);
+    latencies.record_latency(KindId(0), &mut server, LATE_LATENCY);
     assert!(latencies.is_slow(&server));
     latencies.restore_median(0.5);
     assert!(!latencies.is_slow(&server), "the others are nearly as slow");
 }
 
 #[test]
-fn a_machine_types_responses_tell_what_to_expect_of_a_server_that_has_none() {
+fn the_expected_latency_of_a_server_without_samples_is_that_of_its_machine_type() {
     let mut latencies = latencies();
     for _ in 0..12 {
         latencies.record_latency(KindId(1), &mut ServerLatency::new(), 0.8);
--- a/src/pending.rs
+++ b/src/pending.rs
@@ -1,60 +1,62 @@
-//! Requests that are owed an answer, their attempts in flight, and the queue of those that wait for a server.
+//! Pending requests, which have no final answer yet; their attempts in flight; and the queue of requests that wait for
+//! a server.
 
 use crate::admission::TimeLimits;
 use crate::retries::AttemptHistory;
 use crate::{Request, RequestId, Span, Time};
 use std::collections::BTreeMap;
 
-/// The one record of an accepted request; it goes when the request has its final answer.
+/// A request that has no final answer yet. It is removed when the answer is given.
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
     pub(crate) limits: TimeLimits,
     pub(crate) history: AttemptHistory,
-    /// Its tenant has had its share already.
+    /// Whether its tenant exceeds its share of the traffic.
     pub(crate) is_over_share: bool,
 }
 
-/// Names an attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptKey {
     pub(crate) request: RequestId,
     pub(crate) attempt: u32,
 }
 
-/// An attempt that has not ended; it outlives its request if that ends first.
+/// An attempt that has not ended. It may outlive its request, which can get its final answer first.
 pub(crate) struct InFlightAttempt {
     /// The slot of its server.
     pub(crate) server: usize,
     pub(crate) class: usize,
-    /// When it was sent, or when the last byte of its body was.
+    /// When it was sent. Once an upload is complete, when the last byte of the body arrived.
     pub(crate) sent_at: Time,
-    /// It is a probation request of an ejected server.
+    /// Whether it is a probation request to an ejected server.
     pub(crate) is_probation: bool,
-    /// It is not the first attempt of its request.
+    /// Whether it is not the first attempt of its request.
     pub(crate) is_retry: bool,
-    /// Its request body is still being received, so its server has nothing to work on yet.
+    /// Whether its request body is still being received, so that its server has nothing to work on yet.
     pub(crate) is_uploading: bool,
-    /// It has counted as late in the admission level already, or says nothing of it.
-    pub(crate) is_level_settled: bool,
+    /// Whether its end must not be recorded in the admission level: it has been recorded as late already, or shows
+    /// nothing about the load of the fleet.
+    pub(crate) is_excluded_from_level: bool,
     pub(crate) is_cancelled: bool,
 }
 
-/// All pending requests.
+/// All pending requests, all attempts in flight, and the queue.
 #[derive(Default)]
 pub(crate) struct Pending {
     requests: BTreeMap<RequestId, PendingRequest>,
     in_flight: BTreeMap<AttemptKey, InFlightAttempt>,
-    /// Newest first within each rank.
+    /// Newest first within each rank. It may hold requests that are no longer pending.
     queue: Vec<RequestId>,
 }
 
 impl Pending {
-    /// A pending request.
+    /// Returns a pending request.
     pub(crate) fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
-    /// A pending request.
+    /// Returns a pending request for modification.
     pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
@@ -84,7 +86,7 @@
         self.in_flight.remove(&key)
     }
 
-    /// An attempt in flight.
+    /// Returns an attempt in flight for modification.
     pub(crate) fn attempt_mut(&mut self, key: AttemptKey) -> Option<&mut InFlightAttempt> {
         self.in_flight.get_mut(&key)
     }
@@ -94,7 +96,7 @@
         self.in_flight.iter().map(|(key, attempt)| (*key, attempt))
     }
 
-    /// Whether a request of this identifier, which may have ended already, has an attempt in flight.
+    /// Whether a request with this identifier has an attempt in flight; the request itself may have ended.
     pub(crate) fn has_attempt_in_flight(&self, request: RequestId) -> bool {
         let key = |attempt| AttemptKey { request, attempt };
         self.in_flight.range(key(0)..=key(u32::MAX)).next().is_some()
@@ -105,20 +107,20 @@
         self.in_flight.len()
     }
 
-    /// Settles in the admission level the attempts that are late; returns their number.
-    pub(crate) fn settle_late(&mut self, is_late: impl Fn(&InFlightAttempt) -> bool) -> usize {
+    /// Excludes late attempts from the admission level, for the caller to record them there once; returns their number.
+    pub(crate) fn mark_late(&mut self, is_late: impl Fn(&InFlightAttempt) -> bool) -> usize {
         let mut count = 0;
-        for attempt in self.in_flight.values_mut().filter(|attempt| !attempt.is_level_settled) {
+        for attempt in self.in_flight.values_mut().filter(|attempt| !attempt.is_excluded_from_level) {
             if is_late(attempt) {
-                attempt.is_level_settled = true;
+                attempt.is_excluded_from_level = true;
                 count += 1;
             }
         }
         count
     }
 
-    /// Takes in the last byte of a request body: the time of the request and of its attempts starts now. Returns the
-    /// slots of the servers that these are at.
+    /// Records that the last byte of a request body has arrived: the time limits of the request and the elapsed time of
+    /// its attempts count from now. Returns the slots of the servers of these attempts.
     pub(crate) fn complete_upload(
         &mut self,
         now: Time,
@@ -141,7 +143,7 @@
         servers
     }
 
-    /// Queues a request that has no server yet.
+    /// Adds a request to the queue, before all others.
     pub(crate) fn enqueue(&mut self, id: RequestId) {
         self.queue.insert(0, id);
     }
@@ -151,15 +153,16 @@
         self.queue.len()
     }
 
-    /// Takes the queue, the lowest rank first, and of a rank the newest first: first come first served would let every
-    /// request wait until it is nearly too late, and then be late. [`Self::set_queue`] puts back what stays.
+    /// Takes all requests out of the queue, ordered by ascending rank and, within a rank, newest first. In an overload,
+    /// oldest first would make every request wait until it is nearly too late, and then be late. [`Self::set_queue`]
+    /// puts back the requests that stay queued.
     pub(crate) fn take_queue<R: Ord>(&mut self, rank: impl Fn(&PendingRequest) -> R) -> Vec<RequestId> {
         let mut queue = std::mem::take(&mut self.queue);
         queue.sort_by_cached_key(|id| self.requests.get(id).map(&rank));
         queue
     }
 
-    /// Puts back the queued requests that stay.
+    /// Puts back the requests that stay queued after [`Self::take_queue`].
     pub(crate) fn set_queue(&mut self, queue: Vec<RequestId>) {
         self.queue = queue;
     }
--- a/src/pending/tests.rs
+++ b/src/pending/tests.rs
@@ -18,7 +18,7 @@
         is_probation: false,
         is_retry: false,
         is_uploading,
-        is_level_settled: false,
+        is_excluded_from_level: false,
         is_cancelled: false,
     }
 }
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_queue_goes_by_rank_and_then_the_newest_first() {
+fn the_queue_is_ordered_by_rank_and_then_newest_first() {
     let mut pending = Pending::default();
     for id in 0..6 {
         pending.insert(request(id));
@@ -47,11 +47,11 @@
     assert!(pending.remove(RequestId(1)).is_some());
     assert_eq!(pending.in_flight_count(), 1);
     assert_eq!(pending.end_attempt(key(1)).map(|attempt| attempt.server), Some(3));
-    assert!(pending.end_attempt(key(1)).is_none(), "it ends once");
+    assert!(pending.end_attempt(key(1)).is_none(), "an attempt ends only once");
 }
 
 #[test]
-fn the_time_of_an_upload_starts_with_its_last_byte() {
+fn time_limits_of_an_upload_count_from_its_last_byte() {
     let (mut pending, later) = (Pending::default(), NOW + Span(5_000_000));
     let mut uploading = request(1);
     uploading.request.uploading = true;
@@ -60,19 +60,19 @@
     pending.start_attempt(key(1), attempt(3, true));
     pending.start_attempt(key(2), attempt(4, true));
     let mut complete = || pending.complete_upload(later, RequestId(1), Span(400_000), |_| OBJECTIVE);
-    assert_eq!(complete(), [3], "the server of this request alone");
-    assert!(complete().is_empty(), "it is complete once");
-    let limits = pending.get(RequestId(1)).expect("it is pending").limits;
+    assert_eq!(complete(), [3], "only the server of this request");
+    assert!(complete().is_empty(), "an upload is completed only once");
+    let limits = pending.get(RequestId(1)).expect("the request is pending").limits;
     assert_eq!(limits.objective, later + OBJECTIVE);
-    assert_eq!(pending.attempt_mut(key(1)).expect("it is in flight").sent_at, later);
+    assert_eq!(pending.attempt_mut(key(1)).expect("the attempt is in flight").sent_at, later);
 }
 
 #[test]
-fn a_late_attempt_counts_once_in_the_admission_level() {
+fn a_late_attempt_is_recorded_once_in_the_admission_level() {
     let mut pending = Pending::default();
     pending.start_attempt(key(1), attempt(3, false));
     pending.start_attempt(key(2), attempt(4, true));
     let is_late = |attempt: &InFlightAttempt| !attempt.is_uploading;
-    assert_eq!(pending.settle_late(is_late), 1);
-    assert_eq!(pending.settle_late(is_late), 0);
+    assert_eq!(pending.mark_late(is_late), 1);
+    assert_eq!(pending.mark_late(is_late), 0);
 }
