--- a/src/admission.rs
+++ b/src/admission.rs
@@ -12,11 +12,12 @@
 /// The most votes for the usual timeout of a class. When the clients change theirs, it is adopted after this many
 /// requests.
 const MAX_TIMEOUT_VOTES: u32 = 50;
-/// The number of cost hints after which each new one has a constant weight in the mean, the inverse of this.
+/// A new cost hint weighs one over the number of hints so far in the mean, or one over this if there are more.
 const MAX_MEAN_HINTS: u32 = 100;
 /// A tenant is over its share at this multiple of its fraction of the traffic, as usage varies in normal operation too.
 const TENANT_SHARE_SLACK: f64 = 1.4;
-/// A request is too late to be sent if less than this fraction of the usual latency of its class is left.
+/// A request is too late to be sent if less than this fraction of the usual latency of its class is left until its
+/// response no longer counts.
 const EXPECTED_LATENCY_FACTOR: f64 = 0.7;
 /// A queued request must have this multiple of the current latency of its class left before its latency objective ends.
 const QUEUE_MARGIN_FACTOR: f64 = 2.0;
@@ -51,7 +52,7 @@
 /// What is decided about a request when it arrives.
 pub(crate) struct Assessment {
     pub(crate) limits: TimeLimits,
-    /// Whether its tenant exceeds its share of the traffic.
+    /// Whether it counts as over its tenant's share of the traffic.
     pub(crate) is_over_share: bool,
 }
 
--- a/src/concurrency.rs
+++ b/src/concurrency.rs
@@ -34,8 +34,9 @@
 /// twice [`TARGET_LATENCY_FRACTION`]. In a round trip of good ones it gains [`LEVEL_GROWTH`] times its square root. The
 /// level is stable at a quarter of slow responses, and the root lets low levels recover faster.
 const LEVEL_REDUCTION: f64 = 0.6;
+/// See [`LEVEL_REDUCTION`].
 const LEVEL_GROWTH: f64 = 0.2;
-/// The same with sparse traffic, where only late responses count as slow. The level is stable at one late response in
+/// [`LEVEL_REDUCTION`] with sparse traffic, where only late responses count as slow. The level is stable at one late response in
 /// seven. Servers that are congested for long may become slower and stay so, and an overload that is kept up by a
 /// quarter of late responses would never end.
 const LEVEL_REDUCTION_SPARSE: f64 = 1.2;
@@ -169,7 +170,8 @@
         self.paused_until = now + duration;
     }
 
-    /// Whether the pause after the server was last full is over. With sparse traffic, nothing else limits the server.
+    /// Whether the pause after the server was last full is over. With sparse traffic, no other limit on requests in
+    /// flight is enforced.
     pub(crate) fn is_pause_over(&self, now: Time) -> bool {
         now >= self.paused_until
     }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -69,7 +69,7 @@
         self.slow_start.factor(&server.slow_start, server.endpoint.started, now)
     }
 
-    /// Whether a server may be sent this request now, except that it may be ejected.
+    /// Whether a server may be sent this request now, regardless of ejection.
     pub(crate) fn is_allowed(&self, now: Time, slot: usize, request: &SelectionRequest) -> bool {
         let server = self.server(slot);
         request.scope.contains(&server.endpoint) && server.is_open && self.has_capacity(now, server, request)
@@ -242,7 +242,7 @@
         self.detect_outlier(attempt.server, outcome, latency)
     }
 
-    /// Records the result of a probation request. If it passed, the latency of the server starts anew.
+    /// Records the result of a probation request. If the server passed, its earlier latency samples are discarded.
     fn end_probation(&mut self, now: Time, slot: usize, outcome: Outcome, latency: f64) {
         let server = self.endpoints.server_mut(slot);
         let result = match outcome {
--- a/src/latency.rs
+++ b/src/latency.rs
@@ -37,8 +37,8 @@
 const MIN_SLOW_LATENCY: f64 = 0.25;
 /// The least number of samples before a server can be slow, as a single costly request is no evidence.
 const MIN_SLOW_SAMPLES: u32 = 4;
-/// The number of samples after which each new one has a constant weight in the mean of a machine type, the inverse of
-/// this.
+/// A new sample weighs one over the number of samples so far in the mean of its machine type, or one over this if there
+/// are more.
 const MAX_KIND_SAMPLES: f64 = 12.0;
 /// The weight of the machine type in the expected latency of a server, in samples of the server itself.
 const KIND_SAMPLE_WEIGHT: f64 = 4.0;
--- a/src/pending.rs
+++ b/src/pending.rs
@@ -11,7 +11,7 @@
     pub(crate) request: Request,
     pub(crate) limits: TimeLimits,
     pub(crate) history: AttemptHistory,
-    /// Whether its tenant exceeds its share of the traffic.
+    /// Whether it counts as over its tenant's share of the traffic.
     pub(crate) is_over_share: bool,
 }
 
