--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -6,7 +6,7 @@
 use crate::servers::{CatalogueServer, Servers};
 use crate::wire::{AttemptEnd, ClientRequest, Ending, HealthCheckEnd, WireAction};
 use balancer::{
-    Action, AttemptNo, Balancer, ClassId, Endpoint, Event, KeyId, Outcome, PeerId, Request, RequestId,
+    Action, AffinityKey, AttemptNo, Balancer, ClassId, Endpoint, Event, Outcome, PeerId, Request, RequestId,
     ServerId, Span, TenantId, Time,
 };
 use balancer_settings::fnv1a;
@@ -56,9 +56,9 @@
             id,
             class: ClassId(request.class),
             tenant: request.tenant.map(TenantId),
-            key: request.affinity_key.as_ref().map(|key| KeyId(fnv1a(key))),
+            affinity_key: request.affinity_key.as_ref().map(|key| AffinityKey(fnv1a(key))),
             cost_hint: estimate_ms.map(Span::from_ms),
-            repeat: request.has_flag(ClientRequest::IS_REPEAT),
+            is_retry: request.has_flag(ClientRequest::IS_REPEAT),
             time_left: Span::from_ms(request.time_left_ms),
             uploading: false,
         }))
@@ -81,7 +81,7 @@
             outcome: end.ending.into(),
             elapsed: Span::from_ms(end.elapsed_ms),
             report: end.report,
-            closed: end.closed,
+            request_finished: end.closed,
         })
     }
 
--- a/agent/src/downstream/request_head.rs
+++ b/agent/src/downstream/request_head.rs
@@ -1,7 +1,7 @@
 //! Reads and validates the head of a request.
 
 use crate::downstream::errors::RequestError;
-use balancer::{ClassId, Idempotency, KeyId, Span, TenantId};
+use balancer::{AffinityKey, ClassId, Idempotency, Span, TenantId};
 use balancer_settings::{fnv1a, Names};
 use hyper::header::HeaderMap;
 use hyper::http::request::Parts;
@@ -22,7 +22,7 @@
     /// How long its client waits.
     pub wait: Duration,
     /// What it is about, for affinity.
-    pub key: Option<KeyId>,
+    pub key: Option<AffinityKey>,
     /// A guess at its work.
     pub cost_hint: Option<Span>,
     /// The client says that it is a retry.
@@ -90,9 +90,9 @@
     Ok(())
 }
 
-fn affinity_key(uri: &Uri) -> Option<KeyId> {
+fn affinity_key(uri: &Uri) -> Option<AffinityKey> {
     let query = uri.query().unwrap_or_default();
-    query.split('&').find_map(|pair| pair.strip_prefix("key=")).map(|key| KeyId(fnv1a(key)))
+    query.split('&').find_map(|pair| pair.strip_prefix("key=")).map(|key| AffinityKey(fnv1a(key)))
 }
 
 /// `X-Cost` in microseconds; what is no positive number says nothing.
--- a/agent/src/driver/arrival.rs
+++ b/agent/src/driver/arrival.rs
@@ -3,7 +3,7 @@
 use crate::traffic::attempt_body::AttemptBody;
 use crate::traffic::memory_budget::MemoryReservation;
 use crate::traffic::request_body::RequestBodyStream;
-use balancer::{ClassId, KeyId, Span, TenantId};
+use balancer::{AffinityKey, ClassId, Span, TenantId};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Body;
@@ -35,7 +35,7 @@
     /// Its tenant.
     pub tenant: Option<TenantId>,
     /// Its affinity key.
-    pub key: Option<KeyId>,
+    pub key: Option<AffinityKey>,
     /// The client's estimate of its work.
     pub cost_hint: Option<Span>,
     /// The client says that it is a retry.
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -214,9 +214,9 @@
             id,
             class: arrival.class,
             tenant: arrival.tenant,
-            key: arrival.key,
+            affinity_key: arrival.key,
             cost_hint: arrival.cost_hint,
-            repeat: arrival.repeat,
+            is_retry: arrival.repeat,
             time_left: self.clock.at(arrival.deadline).since(self.clock.now()),
             uploading: arrival.intake().is_some(),
         };
@@ -331,7 +331,7 @@
             outcome: ended.outcome,
             elapsed,
             report: ended.load_report,
-            closed: is_closed,
+            request_finished: is_closed,
         });
     }
 
--- a/agent/src/driver/view.rs
+++ b/agent/src/driver/view.rs
@@ -55,7 +55,7 @@
             let phase = ZonePhase {
                 phase: format!("{:?}", view.phase).to_lowercase(),
                 share: view.share,
-                why: view.why.to_owned(),
+                why: view.reason.to_owned(),
             };
             match view.class.and_then(|class| self.names.classes.get(class.0)) {
                 Some(class) => {
--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -34,7 +34,7 @@
         max_attempts: limits.max_attempts.unwrap_or(default.max_attempts),
         hedging: limits.hedging,
         cancel: limits.cancel,
-        probes: limits.health_checks,
+        health_checks: limits.health_checks,
         gossip: limits.gossip,
         retry_after: limits.retry_after,
         max_retry_after: Span::from_ms(limits.max_retry_after_ms),
@@ -110,7 +110,7 @@
 impl From<&GoalParams> for Goal {
     fn from(params: &GoalParams) -> Self {
         Goal {
-            whole: params.whole,
+            overall: params.whole,
             worst_window: params.worst_window,
             worst_class: params.worst_class,
             worst_tenant: params.worst_tenant,
@@ -122,7 +122,7 @@
     fn from(params: &PriceParams) -> Self {
         Prices {
             cross_zone: params.cross_zone,
-            probe: params.health_check,
+            health_check: params.health_check,
             handshake: params.handshake,
             connection: params.connection,
             waste: params.waste,
@@ -154,7 +154,7 @@
     fn from(weights: WeightsParam) -> Self {
         match weights {
             WeightsParam::None => Weights::None,
-            WeightsParam::Nominal | WeightsParam::Rough => Weights::Size,
+            WeightsParam::Nominal | WeightsParam::Rough => Weights::Capacity,
             WeightsParam::Live => Weights::Live,
         }
     }
--- a/settings/tests/settings_object.rs
+++ b/settings/tests/settings_object.rs
@@ -78,10 +78,10 @@
         tenants: vec![Tenant { fraction: 0.6, allowance_per_s: 40.0 }],
         over_quota_weight: 0.5,
         weight_by_work: true,
-        goal: Goal { whole: 0.1, worst_window: 0.4, worst_class: 0.2, worst_tenant: 0.3 },
+        goal: Goal { overall: 0.1, worst_window: 0.4, worst_class: 0.2, worst_tenant: 0.3 },
         prices: Prices {
             cross_zone: 0.02,
-            probe: 0.05,
+            health_check: 0.05,
             handshake: 0.03,
             connection: 0.01,
             waste: 0.06,
@@ -104,7 +104,7 @@
         max_attempts: 5,
         hedging: true,
         cancel: false,
-        probes: true,
+        health_checks: true,
         gossip: true,
         retry_after: true,
         max_retry_after: Span::from_ms(700.0),
@@ -142,7 +142,7 @@
     let (settings, names) = read(json!({}));
     let expected = Settings {
         classes: Vec::new(),
-        goal: Goal { whole: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
+        goal: Goal { overall: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
         cancel: false,
         max_retry_after: Span::ZERO,
         ..Settings::default()
@@ -176,8 +176,8 @@
     }
     for (word, expected) in [
         ("silent", Weights::None),
-        ("nominal", Weights::Size),
-        ("rough", Weights::Size),
+        ("nominal", Weights::Capacity),
+        ("rough", Weights::Capacity),
         ("live", Weights::Live),
     ] {
         assert_eq!(read(json!({"weights": word})).0.weights, expected, "{word}");
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -190,7 +190,7 @@
         let mut cost = goal.worst_class * total_priority;
         let (mut freed, mut lowest_cost, mut unprotected) = (0.0, f64::INFINITY, 0);
         for (index, &class) in order.iter().enumerate() {
-            cost += (goal.whole + goal.worst_window) * priority(class);
+            cost += (goal.overall + goal.worst_window) * priority(class);
             freed += work(class);
             if cost / freed < lowest_cost {
                 (lowest_cost, unprotected) = (cost / freed, index + 1);
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -60,7 +60,7 @@
 #[test]
 fn the_class_that_frees_most_work_for_its_priority_is_rejected_first() {
     let classes = vec![class(), Class { priority_weight: 5.0, ..class() }];
-    let goal = Goal { whole: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 };
+    let goal = Goal { overall: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 };
     let settings = Settings { classes, goal, ..Settings::default() };
     let (mut admission, mut rng) = (Admission::new(&settings), fastrand::Rng::with_seed(1));
     for class in [0, 1] {
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -77,10 +77,10 @@
                     pending.history.record_first_byte(attempt);
                 }
             }
-            Event::Outcome { request, attempt, outcome, elapsed, report, closed } => {
+            Event::Outcome { request, attempt, outcome, elapsed, report, request_finished } => {
                 let key = AttemptKey { request, attempt: attempt.0 };
                 let end = AttemptEnd { now, outcome, elapsed };
-                self.handle_outcome(key, end, report.as_deref(), closed, actions);
+                self.handle_outcome(key, end, report.as_deref(), request_finished, actions);
             }
             Event::BodyComplete { request, time_left } => self.complete_upload(now, request, time_left),
             Event::BodyConsumed { request } => {
--- a/src/balancer/dispatch.rs
+++ b/src/balancer/dispatch.rs
@@ -31,7 +31,7 @@
     /// What a selection must know of a request.
     fn selection_request(&self, now: Time, pending: &PendingRequest) -> SelectionRequest {
         let class = pending.request.class.0;
-        let key = pending.request.key.filter(|_| self.settings.key_affinity);
+        let key = pending.request.affinity_key.filter(|_| self.settings.key_affinity);
         let slot = |server: ServerId| self.fleet.endpoints.slot(server);
         let expected_work = self.expected_work(&pending.request);
         let mean_work = self.mean_work(class);
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,8 +1,8 @@
 //! The events that a balancer is notified of.
 
 use crate::{
-    AttemptNo, ClassId, EndpointUpdate, KeyId, PeerId, RequestId, ServerId, Snapshot, Span, TenantId, Time,
-    TimerId, ZoneId,
+    AffinityKey, AttemptNo, ClassId, EndpointUpdate, PeerId, RequestId, ServerId, Snapshot, Span, TenantId,
+    Time, TimerId, ZoneId,
 };
 use std::collections::BTreeMap;
 
@@ -16,11 +16,11 @@
     /// The tenant that it belongs to.
     pub tenant: Option<TenantId>,
     /// Its affinity key.
-    pub key: Option<KeyId>,
+    pub affinity_key: Option<AffinityKey>,
     /// The client's estimate of its work, in core time.
     pub cost_hint: Option<Span>,
     /// The client marks it as a retry.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// How long the client still waits for this request.
     pub time_left: Span,
     /// Its body is still being received and is forwarded as it arrives. Its time counts from [`Event::BodyComplete`];
@@ -35,9 +35,9 @@
             id,
             class,
             tenant: None,
-            key: None,
+            affinity_key: None,
             cost_hint: None,
-            repeat: false,
+            is_retry: false,
             time_left,
             uploading: false,
         }
@@ -105,7 +105,7 @@
         /// The server's load report, if it sent one.
         report: Option<Vec<f64>>,
         /// The request has its final answer; without this one is still owed.
-        closed: bool,
+        request_finished: bool,
     },
     /// The last byte of a request body that was still being received has arrived.
     BodyComplete {
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -24,7 +24,7 @@
     /// A cell: a group of servers that share a deduplication store, as the endpoint list numbers them.
     CellId(u32),
     /// The affinity key of a request: requests for the same object carry the same key.
-    KeyId(u64),
+    AffinityKey(u64),
     /// An attempt of a request: 0 for the first, 1 for the second and so on.
     AttemptNo(u32),
     /// A timer; chosen by the balancer.
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -14,7 +14,7 @@
 use crate::endpoints::DrawPool;
 use crate::fleet::Fleet;
 use crate::retries::RetryScope;
-use crate::{KeyId, ReportSource, RequestId, ServerId, Settings, Time};
+use crate::{AffinityKey, ReportSource, RequestId, ServerId, Settings, Time};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -51,7 +51,7 @@
     /// How much the slowness of a server weighs for this work.
     pub(crate) slowdown_weight: f64,
     pub(crate) is_idempotent: bool,
-    pub(crate) key: Option<KeyId>,
+    pub(crate) key: Option<AffinityKey>,
     /// The server that was sent its affinity key last.
     pub(crate) affinity_server: Option<usize>,
     /// The servers that it has been sent to already.
@@ -64,7 +64,7 @@
     /// The servers that were selected last, the latest first.
     remembered: Vec<usize>,
     /// The server that each affinity key was last sent to.
-    affinity: BTreeMap<KeyId, ServerId>,
+    affinity: BTreeMap<AffinityKey, ServerId>,
 }
 
 impl Selection {
@@ -90,7 +90,7 @@
     }
 
     /// The server that was sent an affinity key last.
-    pub(crate) fn affinity_server(&self, key: KeyId) -> Option<ServerId> {
+    pub(crate) fn affinity_server(&self, key: AffinityKey) -> Option<ServerId> {
         self.affinity.get(&key).copied()
     }
 
@@ -119,8 +119,8 @@
     /// Whether the candidates are asked for their load first: where own counts say little, reports come with health
     /// checks only and say how many requests a server has, and those of one selection cost next to nothing.
     pub(crate) fn queries_load(&self, fleet: &Fleet) -> bool {
-        let price = self.settings.prices.probe * self.max_candidates(fleet) as f64;
-        self.settings.probes
+        let price = self.settings.prices.health_check * self.max_candidates(fleet) as f64;
+        self.settings.health_checks
             && self.settings.report_source == ReportSource::HealthChecks
             && fleet.load_reports.have_requests()
             && price <= MAX_QUERY_PRICE
--- a/src/selection/tests.rs
+++ b/src/selection/tests.rs
@@ -83,9 +83,9 @@
 #[test]
 fn the_last_server_of_an_affinity_key_wins_unless_it_has_clearly_more_requests() {
     let mut fixture = Fixture::new(2, Settings::default());
-    let keyed = SelectionRequest { key: Some(KeyId(9)), ..request() };
+    let keyed = SelectionRequest { key: Some(AffinityKey(9)), ..request() };
     fixture.select(&[1], &keyed);
-    assert_eq!(fixture.selection.affinity_server(KeyId(9)), Some(ServerId(1)));
+    assert_eq!(fixture.selection.affinity_server(AffinityKey(9)), Some(ServerId(1)));
     let known = SelectionRequest { affinity_server: Some(1), ..request() };
     assert!((0..20).all(|_| fixture.select(&[0, 1], &known) == Some(1)));
     fixture.load(1, 2);
--- a/src/selection/weights.rs
+++ b/src/selection/weights.rs
@@ -106,7 +106,7 @@
     /// What a server can take next to others: its listed size over the requests that it has by its report, and over its
     /// expected latency.
     fn weight(&self, now: Time, fleet: &Fleet, server: &Server) -> f64 {
-        let listed = if self.settings.weights == Weights::Size { server.endpoint.weight } else { 1.0 };
+        let listed = if self.settings.weights == Weights::Capacity { server.endpoint.weight } else { 1.0 };
         let size = if listed.is_finite() && listed > 0.0 { listed } else { 1.0 };
         let requests = server.report.expected(now, fleet.load_reports.mean());
         let latency = fleet.latencies.expected(server.endpoint.kind, &server.latency);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -121,7 +121,7 @@
     #[default]
     None,
     /// The capacity of the machine, exactly or roughly.
-    Size,
+    Capacity,
     /// The capacity divided by the load of some time ago.
     Live,
 }
@@ -130,7 +130,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Goal {
     /// All requests together.
-    pub whole: f64,
+    pub overall: f64,
     /// The worst time window.
     pub worst_window: f64,
     /// The class that is served worst.
@@ -141,7 +141,7 @@
 
 impl Default for Goal {
     fn default() -> Self {
-        Goal { whole: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 }
+        Goal { overall: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 }
     }
 }
 
@@ -151,7 +151,7 @@
     /// An attempt that leaves the balancer's zone.
     pub cross_zone: f64,
     /// A health check.
-    pub probe: f64,
+    pub health_check: f64,
     /// A new connection.
     pub handshake: f64,
     /// An open connection, per hundred servers.
@@ -200,7 +200,7 @@
     /// [`crate::Action::Cancel`] is allowed.
     pub cancel: bool,
     /// [`crate::Action::HealthCheck`] is allowed.
-    pub probes: bool,
+    pub health_checks: bool,
     /// [`crate::Action::Gossip`] is allowed.
     pub gossip: bool,
     /// Clients are passed the Retry-After of [`crate::Action::Reject`].
@@ -245,7 +245,7 @@
             max_attempts: 3,
             hedging: false,
             cancel: true,
-            probes: false,
+            health_checks: false,
             gossip: false,
             retry_after: false,
             max_retry_after: Span::from_ms(1000.0),
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -24,7 +24,7 @@
         classes: idempotencies.into_iter().map(class).collect(),
         prices: Prices { cross_zone: [0.0, 0.05][pick as usize % 2], ..Prices::default() },
         key_affinity: pick % 2 == 0,
-        probes: pick % 3 == 0,
+        health_checks: pick % 3 == 0,
         initial_capacity: [0.2, 1.0][usize::from(pick % 7 == 6)],
         warm_up_time: Span::from_ms([3000.0, 0.0][usize::from(pick % 11 == 10)]),
         ..Settings::default()
@@ -223,7 +223,7 @@
     fn request(&mut self, step: u32) -> Event {
         let class = ClassId(self.rng.usize(0..4));
         let mut request = Request::new(RequestId(u64::from(step)), class, Span::from_ms(400.0));
-        request.key = self.rng.bool().then(|| KeyId(self.rng.u64(0..9)));
+        request.affinity_key = self.rng.bool().then(|| AffinityKey(self.rng.u64(0..9)));
         Event::Request(request)
     }
 
@@ -233,8 +233,8 @@
         let failures = [Outcome::ServerError, Outcome::TimedOut, Outcome::Rejected, Outcome::ConnectFailed];
         let is_failure = self.rng.u32(0..3) == 0;
         let outcome = if is_failure { failures[self.rng.usize(0..4)] } else { Outcome::Success };
-        let (elapsed, closed) = (self.now.since(sent_at), outcome == Outcome::Success);
-        Event::Outcome { request, attempt, outcome, elapsed, report: None, closed }
+        let (elapsed, request_finished) = (self.now.since(sent_at), outcome == Outcome::Success);
+        Event::Outcome { request, attempt, outcome, elapsed, report: None, request_finished }
     }
 }
 
--- a/src/view.rs
+++ b/src/view.rs
@@ -57,7 +57,7 @@
     /// The fraction of the draws of this zone that are used, from 0 to 1.
     pub share: f64,
     /// Why; empty if the zone has always been serving.
-    pub why: &'static str,
+    pub reason: &'static str,
     /// Since when; zero if always.
     pub since: Time,
 }
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -85,7 +85,7 @@
             zones: BTreeMap::new(),
             is_any_restricted: false,
             class_count: settings.classes.len(),
-            has_health_checks: settings.probes,
+            has_health_checks: settings.health_checks,
             balancers: settings.balancers,
             requests_per_starting_server: initial_capacity * REQUESTS_PER_SERVER,
         }
@@ -114,7 +114,7 @@
                 class: (index < self.class_count).then_some(ClassId(index)),
                 phase: usage.phase,
                 share: usage.share,
-                why: usage.reason,
+                reason: usage.reason,
                 since: usage.since,
             };
             health.usages.iter().enumerate().filter(is_shown).map(view)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -77,12 +77,12 @@
                 };
                 self.requests.entry(r.id).or_insert(seen);
             }
-            Event::Outcome { request, attempt, outcome, closed, .. } => {
+            Event::Outcome { request, attempt, outcome, request_finished, .. } => {
                 if let Some(seen) = self.requests.get_mut(request) {
                     if let Some(attempt) = seen.attempts.get_mut(attempt.0 as usize) {
                         attempt.ended.get_or_insert(*outcome);
                     }
-                    seen.is_finished |= *closed;
+                    seen.is_finished |= *request_finished;
                 }
             }
             Event::FirstByte { request, .. } => {
@@ -417,7 +417,7 @@
             outcome,
             elapsed: Span::from_ms(ms),
             report,
-            closed: outcome == Outcome::Success,
+            request_finished: outcome == Outcome::Success,
         })
     }
 
--- a/tests/cordon.rs
+++ b/tests/cordon.rs
@@ -81,7 +81,7 @@
 fn a_cordoned_server_is_sent_no_health_check_and_not_selected_by_an_earlier_one() {
     let settings = Settings {
         balancers: 40,
-        probes: true,
+        health_checks: true,
         report_source: ReportSource::HealthChecks,
         report_fields: vec![ReportField::InFlight],
         classes: vec![class(Idempotency::Idempotent)],
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -49,8 +49,8 @@
 
     fn respond(&mut self, outcome: Outcome) -> Duration {
         let (request, attempt, elapsed) = (RequestId(self.next), AttemptNo(0), Span::from_ms(10.0));
-        let closed = outcome == Outcome::Success;
-        self.notify(Event::Outcome { request, attempt, outcome, elapsed, report: None, closed })
+        let request_finished = outcome == Outcome::Success;
+        self.notify(Event::Outcome { request, attempt, outcome, elapsed, report: None, request_finished })
     }
 
     fn sent_to(&self) -> Option<ServerId> {
@@ -184,7 +184,14 @@
         assert_ne!(second, first);
         let (request, attempt, elapsed) = (RequestId(fleet.next), AttemptNo(1), Span::from_ms(10.0));
         let outcome = Outcome::Success;
-        fleet.notify(Event::Outcome { request, attempt, outcome, elapsed, report: None, closed: true });
+        fleet.notify(Event::Outcome {
+            request,
+            attempt,
+            outcome,
+            elapsed,
+            report: None,
+            request_finished: true,
+        });
         cost
     });
 }
--- a/tests/invariant_checker.rs
+++ b/tests/invariant_checker.rs
@@ -28,7 +28,7 @@
         outcome,
         elapsed: Span::from_ms(1.0),
         report: None,
-        closed: false,
+        request_finished: false,
     }
 }
 
--- a/tests/memory_does_not_grow.rs
+++ b/tests/memory_does_not_grow.rs
@@ -23,7 +23,7 @@
             now = now + Span::from_ms(5.0);
             actions.clear();
             let mut request = Request::new(RequestId(id), ClassId(0), Span::from_ms(800.0));
-            request.key = Some(KeyId(id));
+            request.affinity_key = Some(AffinityKey(id));
             balancer.handle(now, Event::Request(request), &mut actions);
             assert!(actions.iter().any(|a| matches!(a, Action::Send { .. })), "request {id} was not sent");
             let outcome = Event::Outcome {
@@ -32,7 +32,7 @@
                 outcome: Outcome::Success,
                 elapsed: Span::from_ms(20.0),
                 report: None,
-                closed: true,
+                request_finished: true,
             };
             balancer.handle(now, outcome, &mut actions);
         }
--- a/tests/outliers.rs
+++ b/tests/outliers.rs
@@ -205,7 +205,7 @@
 
 #[test]
 fn a_health_check_that_was_not_sent_says_nothing_of_its_server() {
-    let mut rig = Rig::new(Settings { probes: true, ..settings(Idempotency::Idempotent) }, 11);
+    let mut rig = Rig::new(Settings { health_checks: true, ..settings(Idempotency::Idempotent) }, 11);
     rig.set_endpoints(fleet(5, 1, 1));
     let health_checked =
         |outcome| Event::HealthChecked { server: ServerId(2), outcome, elapsed: Span::ZERO, report: None };
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -292,7 +292,7 @@
 #[test]
 fn in_an_overload_the_class_with_the_highest_priority_is_protected_and_none_is_starved() {
     let priority_weight = |priority_weight| Class { priority_weight, ..class(Idempotency::Idempotent) };
-    let goal = Goal { whole: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
+    let goal = Goal { overall: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
     let settings = Settings {
         classes: vec![priority_weight(1.0), priority_weight(3.0), priority_weight(10.0)],
         goal,
--- a/tests/random_walk.rs
+++ b/tests/random_walk.rs
@@ -18,7 +18,7 @@
         hedging: pick % 2 == 0,
         cancel: pick % 3 != 0,
         retry_after: pick % 5 == 0,
-        probes: pick % 4 == 0,
+        health_checks: pick % 4 == 0,
         report_source: if pick % 3 == 0 { ReportSource::None } else { ReportSource::Responses },
         report_fields: vec![ReportField::InFlight, ReportField::ServiceTime],
         discovery: if pick % 2 == 1 { Discovery::Polled } else { Discovery::Pushed },
@@ -54,7 +54,7 @@
                 let class = rng.usize(0..classes.len());
                 let left = classes[class].deadline * (rng.f64() * 1.2).min(1.0);
                 let mut request = Request::new(RequestId(u64::from(step)), ClassId(class), left);
-                request.key = rng.bool().then(|| KeyId(rng.u64(0..5)));
+                request.affinity_key = rng.bool().then(|| AffinityKey(rng.u64(0..5)));
                 request.cost_hint = rng.bool().then(|| Span::from_ms(rng.f64() * 80.0));
                 actions.extend_from_slice(rig.notify(Event::Request(request)));
             }
@@ -71,14 +71,14 @@
                 };
                 let report =
                     rng.bool().then(|| vec![rng.f64() * 9.0, [f64::NAN, -4.0, 30.0][rng.usize(0..3)]]);
-                let closed = outcome == Outcome::Success || o.streaming;
+                let request_finished = outcome == Outcome::Success || o.streaming;
                 actions.extend_from_slice(rig.notify(Event::Outcome {
                     request: o.request,
                     attempt: AttemptNo(o.attempt),
                     outcome,
                     elapsed: rig.now.since(o.sent),
                     report,
-                    closed,
+                    request_finished,
                 }));
             }
             80..=83 if !out.is_empty() => {
--- a/tests/removed_servers_are_forgotten.rs
+++ b/tests/removed_servers_are_forgotten.rs
@@ -33,8 +33,8 @@
                     |a: &Action| matches!(a, Action::Send { server, .. } if names.contains(&server.0));
                 assert!(out.iter().any(there), "round {round}: a server of this round has room");
                 let (request, attempt, outcome) = (RequestId(request), AttemptNo(0), Outcome::Success);
-                let (elapsed, report, closed) = (Span::from_ms(20.0), None, true);
-                let event = Event::Outcome { request, attempt, outcome, elapsed, report, closed };
+                let (elapsed, report, request_finished) = (Span::from_ms(20.0), None, true);
+                let event = Event::Outcome { request, attempt, outcome, elapsed, report, request_finished };
                 balancer.handle(now, event, &mut out);
                 balancer.handle(now, Event::Timer(TimerId(0)), &mut out);
             }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -35,7 +35,7 @@
     let settings = Settings {
         classes: vec![class(Idempotency::Idempotent)],
         cancel: false,
-        goal: Goal { whole: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
+        goal: Goal { overall: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
         warm_up_time: Span::ZERO,
         ..Settings::default()
     };
--- a/tests/sparse_traffic.rs
+++ b/tests/sparse_traffic.rs
@@ -36,7 +36,7 @@
 /// A fair draw sent machines of half the size as much as the others, and they were overloaded first.
 #[test]
 fn load_goes_by_listed_size() {
-    let mut rig = Rig::new(Settings { weights: Weights::Size, ..settings() }, 1);
+    let mut rig = Rig::new(Settings { weights: Weights::Capacity, ..settings() }, 1);
     let sized = |l: Endpoint| Endpoint { weight: if l.server.0 < 10 { 3.0 } else { 1.0 }, ..l };
     rig.set_endpoints(fleet(20, 1, 1).into_iter().map(sized).collect());
     let sent = serve(&mut rig, 20, 3000, 20.0, all_well);
@@ -279,7 +279,7 @@
 
 fn asking() -> Settings {
     Settings {
-        probes: true,
+        health_checks: true,
         report_source: ReportSource::HealthChecks,
         report_fields: vec![ReportField::Utilisation, ReportField::InFlight],
         ..settings()
@@ -338,11 +338,11 @@
 
 #[test]
 fn expensive_or_useless_health_checks_are_not_sent() {
-    let dear = Prices { probe: 0.01, ..Prices::default() };
+    let dear = Prices { health_check: 0.01, ..Prices::default() };
     for settings in [
         Settings { prices: dear, ..asking() },
         Settings { report_fields: vec![ReportField::Utilisation], ..asking() },
-        Settings { probes: false, ..asking() },
+        Settings { health_checks: false, ..asking() },
         Settings { balancers: 10, ..asking() },
     ] {
         let mut rig = Rig::new(settings, 12);
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -202,7 +202,7 @@
 /// Where health checks are allowed, a zone that is away is checked by them, and no request finds out that it is still unresponsive.
 #[test]
 fn a_zone_that_is_away_is_sent_health_checks() {
-    let mut world = four_zones(Settings { probes: true, ..settings(4) }, 15);
+    let mut world = four_zones(Settings { health_checks: true, ..settings(4) }, 15);
     world.play(80, 5.0, |s, _, _| if s.0 % 4 == 1 { Does::Nothing } else { WELL });
     assert_eq!(world.phase(1), ZonePhase::Away, "{:?}", world.logs);
     let (since, asked) = (world.rig.now, world.probed);
