--- a/src/admission.rs
+++ b/src/admission.rs
@@ -197,7 +197,7 @@
         let mut cost = goal.worst_class * total_priority;
         let (mut freed_work, mut lowest_cost, mut unprotected) = (0.0, f64::INFINITY, 0);
         for (index, &class) in order.iter().enumerate() {
-            cost += (goal.whole + goal.worst_window) * priority(class);
+            cost += (goal.overall + goal.worst_window) * priority(class);
             freed_work += work(class);
             if cost / freed_work < lowest_cost {
                 (lowest_cost, unprotected) = (cost / freed_work, index + 1);
--- a/src/balancer/dispatch.rs
+++ b/src/balancer/dispatch.rs
@@ -33,7 +33,7 @@
     /// Collects the properties of a request that the selection depends on.
     fn selection_request(&self, now: Time, pending: &PendingRequest) -> SelectionRequest {
         let class = pending.request.class.0;
-        let key = pending.request.key.filter(|_| self.settings.key_affinity);
+        let key = pending.request.affinity_key.filter(|_| self.settings.key_affinity);
         let slot = |server: ServerId| self.fleet.endpoints.slot(server);
         let expected_work = self.expected_work(&pending.request);
         let mean_work = self.mean_work(class);
