--- a/src/balancer/dispatch.rs
+++ b/src/balancer/dispatch.rs
@@ -139,8 +139,8 @@
         self.load_queries.push(LoadQuery { request: id, candidates, asked_at: now, until });
     }
 
-    /// Sends the requests whose load queries are complete or have timed out. Candidates that have reported are
-    /// preferred to those that have not.
+    /// Sends the requests whose load queries are complete or have timed out. If any candidate has reported its load,
+    /// those that have not are left out.
     pub(super) fn finish_load_queries(&mut self, now: Time, actions: &mut Vec<Action>) {
         for query in self.load_queries.take_done(now, &self.fleet.endpoints) {
             let Some(pending) = self.pending.get(query.request) else { continue };
--- a/src/balancer/servers.rs
+++ b/src/balancer/servers.rs
@@ -154,8 +154,9 @@
     }
 
     /// Cancels the attempts in an unresponsive zone whose requests may be retried elsewhere. These retries take nothing
-    /// from the retry budget, as no server is working on the cancelled attempts. All attempts in the zone are excluded
-    /// from the admission level, as they show nothing about the load of the other servers.
+    /// from the retry budget, as no server is working on the cancelled attempts. Whether they can be cancelled or not,
+    /// the attempts in the zone are excluded from the admission level, as they show nothing about the load of the other
+    /// servers.
     fn cancel_in_zone(&mut self, now: Time, zone: ZoneId, actions: &mut Vec<Action>) {
         let is_in_zone = |attempt: &InFlightAttempt| {
             !attempt.is_cancelled && self.fleet.server(attempt.server).endpoint.zone == zone
