--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -146,7 +146,7 @@
     /// Whether there is nowhere to send a request, or it would be answered too late to count.
     fn is_hopeless(&self, now: Time, pending: &PendingRequest) -> bool {
         let usual_latency = self.fleet.latencies.usual(pending.request.class.0);
-        self.fleet.endpoints.is_all_held_back()
+        self.fleet.endpoints.are_all_disabled()
             || is_too_late(now, self.class(&pending.request), &pending.limits, usual_latency)
     }
 
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -63,7 +63,7 @@
     /// The most servers that were open at a time.
     max_open: usize,
     is_sparse: bool,
-    is_all_held_back: bool,
+    are_all_disabled: bool,
 }
 
 impl Endpoints {
@@ -92,7 +92,7 @@
             balancers: settings.balancers as usize,
             max_open: 0,
             is_sparse: false,
-            is_all_held_back: false,
+            are_all_disabled: false,
         }
     }
 
@@ -159,8 +159,8 @@
     }
 
     /// Operators hold back all servers that the endpoint list has as serving.
-    pub(crate) fn is_all_held_back(&self) -> bool {
-        self.is_all_held_back
+    pub(crate) fn are_all_disabled(&self) -> bool {
+        self.are_all_disabled
     }
 
     /// Whether regions are known.
@@ -253,7 +253,7 @@
     /// Updates what follows from the number of open servers, once all changed ones have been indexed.
     pub(crate) fn update_totals(&mut self) {
         let open = self.open.members().len();
-        self.is_all_held_back = open == 0 && !self.held_back.members().is_empty();
+        self.are_all_disabled = open == 0 && !self.held_back.members().is_empty();
         self.max_open = self.max_open.max(open);
         self.is_sparse = self.balancers > self.max_open;
     }
--- a/src/endpoints/tests.rs
+++ b/src/endpoints/tests.rs
@@ -50,7 +50,7 @@
         let removed: Vec<usize> = self.removed.due(Time(u64::MAX)).collect();
         assert_eq!(sorted(&removed), find(&is_removed), "removed");
         let has_held_back = !find(&is_held_back).is_empty();
-        assert_eq!(self.is_all_held_back, self.open().is_empty() && has_held_back, "all held back");
+        assert_eq!(self.are_all_disabled, self.open().is_empty() && has_held_back, "all held back");
         assert!(self.max_open >= self.open().len(), "the most open servers");
     }
 }
@@ -95,11 +95,11 @@
     endpoints.reindex(1);
     update(&mut endpoints, NOW, vec![], true);
     update(&mut endpoints, NOW, vec![Endpoint::serving(ServerId(1))], true);
-    assert!(endpoints.open().is_empty() && endpoints.is_all_held_back());
+    assert!(endpoints.open().is_empty() && endpoints.are_all_disabled());
     assert!(endpoints.uncordon(ServerId(1)));
     endpoints.reindex(1);
     endpoints.update_totals();
-    assert!(!endpoints.is_all_held_back());
+    assert!(!endpoints.are_all_disabled());
 }
 
 #[test]
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -154,7 +154,7 @@
             elapsed: end.elapsed,
             is_in_time: end.elapsed <= self.settings.classes[attempt.class].latency_objective,
             usual_ms: self.latencies.usual_ms(attempt.class) * server.latency.slowdown(),
-            is_warming: self.slow_start_factor(end.now, server) < 1.0,
+            is_warming_up: self.slow_start_factor(end.now, server) < 1.0,
         };
         let attempt = server.zone_attempt(attempt.sent_at);
         let mut context = ZoneContext {
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -150,7 +150,7 @@
             return ZoneChange::None;
         }
         // A server that is warming up is slow, and what was lost took no time that says anything.
-        let slowdown = if is_success && !ended.is_warming {
+        let slowdown = if is_success && !ended.is_warming_up {
             (ended.elapsed.as_ms() / ended.usual_ms).min(MAX_SLOWDOWN)
         } else {
             1.0
--- a/src/zones/evidence.rs
+++ b/src/zones/evidence.rs
@@ -61,5 +61,5 @@
     /// The usual latency of the server for this class.
     pub(crate) usual_ms: f64,
     /// The server is warming up.
-    pub(crate) is_warming: bool,
+    pub(crate) is_warming_up: bool,
 }
--- a/src/zones/tests.rs
+++ b/src/zones/tests.rs
@@ -42,8 +42,14 @@
             rng: &mut self.rng,
         };
         let attempt = ZoneAttempt { zone, server: ServerId(server), sent_at: self.now - elapsed };
-        let ended =
-            ZoneOutcome { class: 0, outcome, elapsed, is_in_time: true, usual_ms: 10.0, is_warming: false };
+        let ended = ZoneOutcome {
+            class: 0,
+            outcome,
+            elapsed,
+            is_in_time: true,
+            usual_ms: 10.0,
+            is_warming_up: false,
+        };
         self.zones.record_outcome(&mut context, attempt, ended, &mut Vec::new())
     }
 
