--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -40,12 +40,12 @@
     slots: BTreeMap<ServerId, usize>,
     free_slots: Vec<usize>,
     /// When the slots of removed servers are to be freed.
-    removed: DueTimes,
+    slot_expiry: DueTimes,
     /// How long a removed server keeps its slot: a new process needs as long to warm up.
     slot_retention: Span,
     open: SlotSet,
     /// Servers that the endpoint list has as serving and that operators hold back.
-    held_back: SlotSet,
+    disabled: SlotSet,
     open_by_zone: SlotGroups<ZoneId>,
     open_by_cell: SlotGroups<CellId>,
     /// The open servers in other zones of the own region.
@@ -61,7 +61,7 @@
     evacuated: BTreeSet<ZoneId>,
     balancers: usize,
     /// The most servers that were open at a time.
-    max_open: usize,
+    max_open_seen: usize,
     is_sparse: bool,
     are_all_disabled: bool,
 }
@@ -76,10 +76,10 @@
             servers: Vec::new(),
             slots: BTreeMap::new(),
             free_slots: Vec::new(),
-            removed: DueTimes::default(),
+            slot_expiry: DueTimes::default(),
             slot_retention: settings.warm_up_time,
             open: SlotSet::default(),
-            held_back: SlotSet::default(),
+            disabled: SlotSet::default(),
             open_by_zone: SlotGroups::default(),
             open_by_cell: SlotGroups::default(),
             open_in_region: SlotSet::default(),
@@ -90,7 +90,7 @@
             cordoned: BTreeSet::new(),
             evacuated: BTreeSet::new(),
             balancers: settings.balancers as usize,
-            max_open: 0,
+            max_open_seen: 0,
             is_sparse: false,
             are_all_disabled: false,
         }
@@ -180,9 +180,8 @@
 
     /// Whether the endpoint list and the operators let a server be sent requests.
     fn is_open(&self, endpoint: &Endpoint) -> bool {
-        let is_held_back =
-            self.cordoned.contains(&endpoint.server) || self.evacuated.contains(&endpoint.zone);
-        endpoint.status == Status::Serving && !is_held_back
+        let is_disabled = self.cordoned.contains(&endpoint.server) || self.evacuated.contains(&endpoint.zone);
+        endpoint.status == Status::Serving && !is_disabled
     }
 
     /// Takes in entries of the endpoint list, all of them if it is `complete`. Returns the slots that have changed, which
@@ -231,7 +230,7 @@
     pub(crate) fn schedule_removal(&mut self, now: Time, slot: usize) {
         let free_at = now + self.slot_retention;
         let is_removed = !self.servers[slot].is_listed();
-        self.removed.set(slot, is_removed.then(|| self.removed.due_at(slot).unwrap_or(free_at)));
+        self.slot_expiry.set(slot, is_removed.then(|| self.slot_expiry.due_at(slot).unwrap_or(free_at)));
     }
 
     /// Updates the indexes after a change of a server, of its zone or of what operators say of them. Without a change
@@ -243,7 +242,7 @@
         let is_open = self.is_open(endpoint);
         self.servers[slot].is_open = is_open;
         self.open.set(slot, is_open);
-        self.held_back.set(slot, is_serving && !is_open);
+        self.disabled.set(slot, is_serving && !is_open);
         self.open_by_zone.set(slot, is_open.then_some(zone));
         self.open_by_cell.set(slot, (is_open && self.has_cell_scope).then_some(cell));
         self.by_zone.set(slot, Some(zone));
@@ -253,9 +252,9 @@
     /// Updates what follows from the number of open servers, once all changed ones have been indexed.
     pub(crate) fn update_totals(&mut self) {
         let open = self.open.members().len();
-        self.are_all_disabled = open == 0 && !self.held_back.members().is_empty();
-        self.max_open = self.max_open.max(open);
-        self.is_sparse = self.balancers > self.max_open;
+        self.are_all_disabled = open == 0 && !self.disabled.members().is_empty();
+        self.max_open_seen = self.max_open_seen.max(open);
+        self.is_sparse = self.balancers > self.max_open_seen;
     }
 
     /// Cordons a server; false if it was cordoned already. Its slot has to be indexed anew.
@@ -297,19 +296,19 @@
     /// Requests, affinity keys and zones name a server by its id. A slot that `is_in_use` is freed later, as is that of
     /// a server that operators hold back or have just restored.
     pub(crate) fn free_slots(&mut self, now: Time, is_in_use: impl Fn(usize) -> bool) {
-        for slot in self.removed.due(now).take(MAX_FREED_SLOTS).collect::<Vec<_>>() {
+        for slot in self.slot_expiry.due(now).take(MAX_FREED_SLOTS).collect::<Vec<_>>() {
             let server = &self.servers[slot];
             let id = server.endpoint.server;
             let restored_at = server.slow_start.restored_at();
             let is_just_restored = restored_at.is_some_and(|at| now < at + self.slot_retention);
             let has_requests = server.connections.in_flight() > 0;
             if has_requests || is_in_use(slot) || is_just_restored || self.is_cordoned(id) {
-                self.removed.set(slot, Some(now + self.slot_retention));
+                self.slot_expiry.set(slot, Some(now + self.slot_retention));
                 continue;
             }
             self.slots.remove(&id);
             self.by_zone.set(slot, None);
-            self.removed.set(slot, None);
+            self.slot_expiry.set(slot, None);
             self.free_slots.push(slot);
         }
     }
--- a/src/endpoints/tests.rs
+++ b/src/endpoints/tests.rs
@@ -20,38 +20,38 @@
         assert!(free.is_disjoint(&used) && all == self.servers.len(), "slots are lost");
 
         let endpoint = |slot: usize| &self.servers[slot].endpoint;
-        let find = |is_one: &dyn Fn(usize) -> bool| {
-            used.iter().copied().filter(|&slot| is_one(slot)).collect::<Vec<_>>()
+        let slots_where = |predicate: &dyn Fn(usize) -> bool| {
+            used.iter().copied().filter(|&slot| predicate(slot)).collect::<Vec<_>>()
         };
         let is_open = |slot: usize| self.is_open(endpoint(slot));
         let expected = |slot: usize| used.contains(&slot) && is_open(slot);
         assert!((0..self.servers.len()).all(|slot| self.servers[slot].is_open == expected(slot)), "open");
-        assert_eq!(sorted(self.open()), find(&is_open), "open");
-        let is_held_back = |slot: usize| endpoint(slot).status == Status::Serving && !is_open(slot);
-        assert_eq!(sorted(self.held_back.members()), find(&is_held_back), "held back");
+        assert_eq!(sorted(self.open()), slots_where(&is_open), "open");
+        let is_disabled = |slot: usize| endpoint(slot).status == Status::Serving && !is_open(slot);
+        assert_eq!(sorted(self.disabled.members()), slots_where(&is_disabled), "disabled");
         let mut zones: BTreeSet<ZoneId> = self.servers.iter().map(|server| server.endpoint.zone).collect();
         zones.extend(self.open_by_zone.groups().chain(self.by_zone.groups()));
         for zone in zones {
-            let is_there = |slot: usize| endpoint(slot).zone == zone;
-            let open = find(&|slot| is_open(slot) && is_there(slot));
+            let is_in_group = |slot: usize| endpoint(slot).zone == zone;
+            let open = slots_where(&|slot| is_open(slot) && is_in_group(slot));
             assert_eq!(sorted(self.open_by_zone.members(zone)), open, "open in {zone:?}");
-            assert_eq!(sorted(self.in_zone(zone)), find(&is_there), "all of {zone:?}");
+            assert_eq!(sorted(self.in_zone(zone)), slots_where(&is_in_group), "all of {zone:?}");
         }
         let mut cells: BTreeSet<CellId> = self.servers.iter().map(|server| server.endpoint.cell).collect();
         cells.extend(self.open_by_cell.groups());
         for cell in cells {
-            let is_there = |slot: usize| self.has_cell_scope && endpoint(slot).cell == cell;
-            let open = find(&|slot| is_open(slot) && is_there(slot));
+            let is_in_group = |slot: usize| self.has_cell_scope && endpoint(slot).cell == cell;
+            let open = slots_where(&|slot| is_open(slot) && is_in_group(slot));
             assert_eq!(sorted(self.open_by_cell.members(cell)), open, "{cell:?}");
         }
         let is_in_region = |slot: usize| is_open(slot) && self.is_other_zone_of_region(endpoint(slot).zone);
-        assert_eq!(sorted(self.open_in_region.members()), find(&is_in_region), "region");
+        assert_eq!(sorted(self.open_in_region.members()), slots_where(&is_in_region), "region");
         let is_removed = |slot: usize| endpoint(slot).status == Status::Gone;
-        let removed: Vec<usize> = self.removed.due(Time(u64::MAX)).collect();
-        assert_eq!(sorted(&removed), find(&is_removed), "removed");
-        let has_held_back = !find(&is_held_back).is_empty();
-        assert_eq!(self.are_all_disabled, self.open().is_empty() && has_held_back, "all held back");
-        assert!(self.max_open >= self.open().len(), "the most open servers");
+        let removed: Vec<usize> = self.slot_expiry.due(Time(u64::MAX)).collect();
+        assert_eq!(sorted(&removed), slots_where(&is_removed), "removed");
+        let has_disabled = !slots_where(&is_disabled).is_empty();
+        assert_eq!(self.are_all_disabled, self.open().is_empty() && has_disabled, "all disabled");
+        assert!(self.max_open_seen >= self.open().len(), "the most open servers");
     }
 }
 
--- a/src/outliers.rs
+++ b/src/outliers.rs
@@ -18,7 +18,7 @@
 use std::fmt;
 
 /// Failures in a row eject a server if chance brings as many no more often than this, at the fleet's failure rate ...
-const MAX_CHANCE: f64 = 0.002;
+const MAX_CHANCE_PROBABILITY: f64 = 0.002;
 /// ... and if they are this many.
 const MIN_FAILURES: f64 = 2.0;
 /// The range of the fleet's failure rate in that calculation.
@@ -28,20 +28,20 @@
 const FAILURE_RATE_GAIN: f64 = 0.02;
 /// What a successful response leaves of the count of aborted ones. It ends a row of failures, but a server that aborts
 /// every response begins each of them well.
-const ABORTED_KEPT: f64 = 0.75;
+const ABORTED_DECAY_FACTOR: f64 = 0.75;
 /// An attempt is overdue at this multiple of the expected latency ...
 const OVERDUE_FACTOR: f64 = 4.0;
 /// ... and after this fraction of the latency objective, or all of it if the attempt is alone on its server, where it
 /// may well be a costly request.
-const MIN_OVERDUE: f64 = 0.6;
-const MIN_OVERDUE_ALONE: f64 = 1.0;
+const MIN_OVERDUE_FRACTION: f64 = 0.6;
+const MIN_OVERDUE_FRACTION_ALONE: f64 = 1.0;
 /// The largest fraction of the open servers that is ejected; if more of them fail, the cause lies elsewhere.
 const MAX_EJECTED_SHARE: f64 = 0.75;
 /// The first and the longest interval between two probation requests to a server.
 const FIRST_PROBATION_INTERVAL: Span = Span(250_000);
 const MAX_PROBATION_INTERVAL: Span = Span(4_000_000);
 /// How many further intervals a probation request waits for an idempotent request before any other is taken.
-const EXTRA_INTERVALS: f64 = 2.0;
+const NON_IDEMPOTENT_EXTRA_INTERVALS: f64 = 2.0;
 /// How long a server is suspected after own evidence, and after gossip.
 const SUSPICION_TIME: Span = Span(8_000_000);
 const GOSSIP_SUSPICION_TIME: Span = Span(5_000_000);
@@ -83,7 +83,7 @@
 
 /// The ejection of a server. It is kept apart from the server's record, as few servers have one.
 struct Ejection {
-    next_probation: Time,
+    next_probation_at: Time,
     probation_interval: Span,
     is_on_probation: bool,
 }
@@ -91,9 +91,9 @@
 /// The failures of one server, and what has followed from them.
 pub(crate) struct ServerHealth {
     /// Failures in a row.
-    failures: u32,
+    consecutive_failures: u32,
     /// The recent responses that were aborted after a good beginning.
-    aborted: f64,
+    recent_aborted: f64,
     last_response_at: Time,
     ejection: Option<Box<Ejection>>,
     suspected_until: Time,
@@ -103,8 +103,8 @@
     /// A server without failures.
     pub(crate) fn new(now: Time) -> Self {
         ServerHealth {
-            failures: 0,
-            aborted: 0.0,
+            consecutive_failures: 0,
+            recent_aborted: 0.0,
             last_response_at: now,
             ejection: None,
             suspected_until: now,
@@ -144,9 +144,12 @@
     /// once none has come for a while, or a site without idempotent requests would never take a server back.
     pub(crate) fn permits_request(&self, now: Time, is_idempotent: bool) -> bool {
         self.ejection.as_deref().is_none_or(|ejection| {
-            let extra =
-                if is_idempotent { Span::ZERO } else { ejection.probation_interval * EXTRA_INTERVALS };
-            !ejection.is_on_probation && now >= ejection.next_probation + extra
+            let extra_wait = if is_idempotent {
+                Span::ZERO
+            } else {
+                ejection.probation_interval * NON_IDEMPOTENT_EXTRA_INTERVALS
+            };
+            !ejection.is_on_probation && now >= ejection.next_probation_at + extra_wait
         })
     }
 
@@ -163,17 +166,17 @@
         match outcome {
             Outcome::NotSent | Outcome::Cancelled | Outcome::TimedOut => {}
             Outcome::Success => {
-                self.failures = 0;
-                self.aborted *= ABORTED_KEPT;
+                self.consecutive_failures = 0;
+                self.recent_aborted *= ABORTED_DECAY_FACTOR;
                 self.last_response_at = now;
                 if is_in_time {
                     self.suspected_until = now;
                 }
             }
             Outcome::Rejected => self.last_response_at = now,
-            Outcome::ConnectFailed => self.failures += 1,
+            Outcome::ConnectFailed => self.consecutive_failures += 1,
             Outcome::ServerError | Outcome::ConnectionReset => {
-                self.failures += 1;
+                self.consecutive_failures += 1;
                 self.last_response_at = now;
             }
         }
@@ -181,7 +184,7 @@
 
     /// Takes in that a response was aborted after a good beginning.
     pub(crate) fn record_aborted_response(&mut self) {
-        self.aborted += 1.0;
+        self.recent_aborted += 1.0;
     }
 
     /// Takes in how a probation request ended: the ejection ends, or the next interval is twice as long. One that was not
@@ -189,20 +192,20 @@
     pub(crate) fn record_probation(&mut self, now: Time, result: ProbationResult) {
         if result == ProbationResult::Passed {
             self.ejection = None;
-            self.failures = 0;
+            self.consecutive_failures = 0;
         } else if let Some(ejection) = &mut self.ejection {
             ejection.is_on_probation = false;
             if result == ProbationResult::Failed {
                 ejection.probation_interval = (ejection.probation_interval * 2.0).min(MAX_PROBATION_INTERVAL);
             }
-            ejection.next_probation = now + ejection.probation_interval;
+            ejection.next_probation_at = now + ejection.probation_interval;
         }
     }
 
     /// Ejects it; its first probation request follows after the first interval.
     pub(crate) fn eject(&mut self, now: Time) {
         self.ejection = Some(Box::new(Ejection {
-            next_probation: now + FIRST_PROBATION_INTERVAL,
+            next_probation_at: now + FIRST_PROBATION_INTERVAL,
             probation_interval: FIRST_PROBATION_INTERVAL,
             is_on_probation: false,
         }));
@@ -263,12 +266,12 @@
     ) -> bool {
         // The rate before this outcome, or the first few failures would hide themselves.
         let failure_rate = self.failure_rate.clamp(MIN_FAILURE_RATE, MAX_FAILURE_RATE);
-        let max_by_chance = (MAX_CHANCE.ln() / failure_rate.ln()).ceil().max(MIN_FAILURES);
+        let failure_threshold = (MAX_CHANCE_PROBABILITY.ln() / failure_rate.ln()).ceil().max(MIN_FAILURES);
         if let Some(is_failure) = is_failure {
             self.failure_rate += FAILURE_RATE_GAIN * (f64::from(is_failure) - self.failure_rate);
         }
-        let failures = f64::from(server.failures) + server.aborted;
-        failures >= max_by_chance || (is_sparse && failures >= 1.0)
+        let failures = f64::from(server.consecutive_failures) + server.recent_aborted;
+        failures >= failure_threshold || (is_sparse && failures >= 1.0)
     }
 
     /// Ejects a server, unless it is ejected already or too many are; true if it was.
@@ -298,6 +301,6 @@
 /// How long an attempt may go without a response before its server counts as unresponsive. `expected` is its expected
 /// latency as a fraction of the objective, `in_flight` the number of attempts at the server.
 pub(crate) fn overdue_after(latency_objective: Span, expected: f64, in_flight: u32) -> Span {
-    let min = if in_flight > 1 { MIN_OVERDUE } else { MIN_OVERDUE_ALONE };
+    let min = if in_flight > 1 { MIN_OVERDUE_FRACTION } else { MIN_OVERDUE_FRACTION_ALONE };
     latency_objective * (OVERDUE_FACTOR * expected).max(min)
 }
--- a/src/outliers/gossip.rs
+++ b/src/outliers/gossip.rs
@@ -44,9 +44,9 @@
     pub(super) fn send(&mut self, server: ServerId, rng: &mut fastrand::Rng, actions: &mut Vec<Action>) {
         let payload = encode(server);
         let size = payload.len() as f64;
-        let affordable = if self.is_enabled { self.bytes / size } else { 0.0 };
-        let peers = (affordable as u32).min(MAX_PEERS).min(self.balancers - 1);
-        for _ in 0..peers {
+        let affordable_messages = if self.is_enabled { self.bytes / size } else { 0.0 };
+        let peer_count = (affordable_messages as u32).min(MAX_PEERS).min(self.balancers - 1);
+        for _ in 0..peer_count {
             self.bytes -= size;
             let peer = PeerId(rng.u32(0..self.balancers));
             actions.push(Action::Gossip { to: Some(peer), payload: payload.clone() });
--- a/src/outliers/tests.rs
+++ b/src/outliers/tests.rs
@@ -49,7 +49,7 @@
     let due = NOW + FIRST_PROBATION_INTERVAL;
     assert!(!server.permits_request(NOW, true));
     assert!(server.permits_request(due, true) && !server.permits_request(due, false));
-    assert!(server.permits_request(due + FIRST_PROBATION_INTERVAL * EXTRA_INTERVALS, false));
+    assert!(server.permits_request(due + FIRST_PROBATION_INTERVAL * NON_IDEMPOTENT_EXTRA_INTERVALS, false));
     assert!(server.record_send(), "this is a probation request");
     assert!(!server.permits_request(due + Span(60_000_000), true));
 }
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -19,17 +19,17 @@
 use std::sync::Arc;
 
 /// Remembered servers and fresh draws of a selection; the paper asks for no fewer draws than remembered servers.
-const REMEMBERED: usize = 1;
+const MAX_REMEMBERED: usize = 1;
 const DRAWS: usize = 3;
 /// Both where traffic is sparse and new connections have a price: the requests in flight are each at another server, and
 /// the next one should find a remembered server with an idle connection.
-const REMEMBERED_SPARSE: usize = 12;
+const MAX_REMEMBERED_SPARSE: usize = 12;
 /// Further draws from the own zone, and as many from the rest of the own region where regions are known. In an overload,
 /// below this admission level, any capacity will do.
-const NEAR_DRAWS: usize = 3;
-const MIN_NEAR_LEVEL: f64 = 0.8;
+const LOCAL_DRAWS: usize = 3;
+const MIN_LEVEL_FOR_LOCAL_DRAWS: f64 = 0.8;
 /// Servers that are drawn at most for each candidate: those that are not ready are rejected.
-const DRAWS_PER_CANDIDATE: usize = 4;
+const MAX_DRAWS_PER_CANDIDATE: usize = 4;
 /// Servers that are looked at, from a random place on, if all draws fail: all of a fleet that is no larger. In a larger
 /// one where one server in fifty is ready, 199 of 200 selections find some; the others wait for the next tick.
 const MAX_SCANNED: usize = 256;
@@ -101,9 +101,9 @@
 
     fn max_remembered(&self, fleet: &Fleet) -> usize {
         if self.keeps_connections(fleet) {
-            REMEMBERED_SPARSE
+            MAX_REMEMBERED_SPARSE
         } else {
-            REMEMBERED
+            MAX_REMEMBERED
         }
     }
 
@@ -141,12 +141,13 @@
         let draws = self.draws(fleet);
         let mut found: Vec<usize> = Vec::with_capacity(draws + self.remembered.len() + 1);
         let has_price = self.settings.prices.cross_zone > 0.0 || fleet.endpoints.has_regions();
-        let is_near_preferred = has_price && fleet.level.value() >= MIN_NEAR_LEVEL && !fleet.is_sparse();
-        let near_draws = if is_near_preferred { NEAR_DRAWS } else { 0 };
+        let prefers_local =
+            has_price && fleet.level.value() >= MIN_LEVEL_FOR_LOCAL_DRAWS && !fleet.is_sparse();
+        let local_draws = if prefers_local { LOCAL_DRAWS } else { 0 };
         let rounds = [
-            (DrawPool::OwnZone, near_draws, near_draws),
-            (DrawPool::OwnRegion, near_draws, near_draws),
-            (DrawPool::All, draws, DRAWS_PER_CANDIDATE * draws),
+            (DrawPool::OwnZone, local_draws, local_draws),
+            (DrawPool::OwnRegion, local_draws, local_draws),
+            (DrawPool::All, draws, MAX_DRAWS_PER_CANDIDATE * draws),
         ];
         for (pool, wanted, max_draws) in rounds {
             let slots = fleet.endpoints.draw_pool(pool, request.scope);
@@ -199,13 +200,13 @@
         let server = fleet.server(slot);
         let is_sparse = fleet.is_sparse();
         let share = fleet.zones.share(server.endpoint.zone, request.class);
-        let wins_over = if is_sparse { 1 } else { 1 + DRAWS } as f64;
-        if share < 1.0 && rng.f64() * (share + (1.0 - share) * wins_over) >= share {
+        let competitors = if is_sparse { 1 } else { 1 + DRAWS } as f64;
+        if share < 1.0 && rng.f64() * (share + (1.0 - share) * competitors) >= share {
             return false;
         }
-        let wins_over = if self.queries_load(fleet) { self.max_candidates(fleet) } else { 1 };
+        let competitors = if self.queries_load(fleet) { self.max_candidates(fleet) } else { 1 };
         let factor = fleet.slow_start_factor(now, server);
-        !is_sparse || fleet.slow_start.passes_draw(factor, wins_over, rng)
+        !is_sparse || fleet.slow_start.passes_draw(factor, competitors, rng)
     }
 
     /// Candidates from all servers, if no draw has found one.
@@ -223,10 +224,10 @@
         let any_takes_overflow = zones.any(|zone| fleet.zones.takes_overflow(zone));
         let takes_overflow =
             |slot: usize| !any_takes_overflow || fleet.zones.takes_overflow(fleet.server(slot).endpoint.zone);
-        let is_fit = |slot: &usize| fleet.is_ready(now, *slot, request) && takes_overflow(*slot);
-        let ready = after.iter().chain(before).take(MAX_SCANNED).copied().filter(is_fit);
-        let (tried, fresh): (Vec<_>, Vec<_>) = ready.partition(|slot| request.tried.contains(slot));
-        let ready = if fresh.is_empty() { tried } else { fresh };
+        let is_eligible = |slot: &usize| fleet.is_ready(now, *slot, request) && takes_overflow(*slot);
+        let ready = after.iter().chain(before).take(MAX_SCANNED).copied().filter(is_eligible);
+        let (tried, untried): (Vec<_>, Vec<_>) = ready.partition(|slot| request.tried.contains(slot));
+        let ready = if untried.is_empty() { tried } else { untried };
         (0..self.draws(fleet).min(ready.len())).map(|_| ready[rng.usize(0..ready.len())]).collect()
     }
 
@@ -239,7 +240,7 @@
         request: &SelectionRequest,
         rng: &mut fastrand::Rng,
     ) -> Option<usize> {
-        let slot = self.lightest(now, fleet, candidates, request, rng)?;
+        let slot = self.least_loaded(now, fleet, candidates, request, rng)?;
         if let Some(key) = request.key {
             if self.affinity.len() >= MAX_AFFINITY_KEYS {
                 self.affinity.clear();
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -25,10 +25,10 @@
 /// A zone that is left stays at its present share after so many outcomes.
 const SETTLED_SAMPLES: f64 = 2.0 * MIN_SAMPLES;
 /// A zone fails if it loses this much more than the others do, and by so many standard deviations.
-const MIN_EXCESS_LOSS: f64 = 0.05;
-const MIN_DEVIATIONS: f64 = 3.0;
+const MIN_EXCESS_LOSS_RATE: f64 = 0.05;
+const MIN_STANDARD_DEVIATIONS: f64 = 3.0;
 /// The loss of the others is taken to be this at most.
-const MAX_EXPECTED_LOSS: f64 = 0.9;
+const MAX_EXPECTED_LOSS_RATE: f64 = 0.9;
 /// A zone is slow at this multiple of the others, each server against its own usual latency.
 const SLOW_FACTOR: f64 = 3.0;
 /// The highest latency that counts, relative to the usual one.
@@ -52,13 +52,13 @@
 /// A zone relapses if it is left again within this many intervals.
 const RELAPSE_INTERVALS: f64 = 8.0;
 /// The requests that a server handles at once at least: two cores, and half of a response's time is waiting.
-const REQUESTS_PER_SERVER: f64 = 4.0;
+const MIN_CONCURRENT_REQUESTS_PER_SERVER: f64 = 4.0;
 /// The least fraction of its capacity at which a starting server is taken to work.
 const MIN_INITIAL_CAPACITY: f64 = 0.01;
 
 /// What one outcome says of a zone.
 #[derive(Debug, Clone, Copy)]
-struct Verdict {
+struct OutcomeAssessment {
     is_good: bool,
     is_bad: bool,
     sent_at: Time,
@@ -73,7 +73,7 @@
     has_health_checks: bool,
     balancers: u32,
     /// The requests that a starting server handles at once.
-    requests_per_starting_server: f64,
+    concurrent_requests_per_starting_server: f64,
 }
 
 impl Zones {
@@ -87,20 +87,20 @@
             class_count: settings.classes.len(),
             has_health_checks: settings.probes,
             balancers: settings.balancers,
-            requests_per_starting_server: initial_capacity * REQUESTS_PER_SERVER,
+            concurrent_requests_per_starting_server: initial_capacity * MIN_CONCURRENT_REQUESTS_PER_SERVER,
         }
     }
 
     /// The fraction of its draws that a zone is used for, for a class.
     pub(crate) fn share(&self, zone: ZoneId, class: usize) -> f64 {
-        let health = self.restricted(zone);
+        let health = self.restricted_health(zone);
         health.map_or(1.0, |health| health.usages[class].share * health.usages[self.class_count].share)
     }
 
     /// Whether the zone may be sent what no other has capacity for: one that serves some classes badly is better than
     /// none, one that does not respond is not.
     pub(crate) fn takes_overflow(&self, zone: ZoneId) -> bool {
-        self.restricted(zone).is_none_or(|health| health.usages[self.class_count].share >= 1.0)
+        self.restricted_health(zone).is_none_or(|health| health.usages[self.class_count].share >= 1.0)
     }
 
     /// How each zone is used, as a whole, and by class where that differs.
@@ -133,10 +133,10 @@
         &mut self,
         context: &mut ZoneContext,
         attempt: ZoneAttempt,
-        ended: ZoneOutcome,
+        end: ZoneOutcome,
         actions: &mut Vec<Action>,
     ) -> ZoneChange {
-        let outcome = ended.outcome;
+        let outcome = end.outcome;
         let is_success = outcome == Outcome::Success;
         let is_lost = outcome.is_failure() || outcome == Outcome::TimedOut;
         if matches!(outcome, Outcome::ConnectFailed | Outcome::TimedOut) {
@@ -144,27 +144,32 @@
                 return change;
             }
         } else if matches!(outcome, Outcome::Success | Outcome::ServerError | Outcome::Rejected) {
-            self.health(attempt.zone).record_response(context.now, attempt.sent_at);
+            self.health_mut(attempt.zone).record_response(context.now, attempt.sent_at);
         }
         if !is_success && !is_lost {
             return ZoneChange::None;
         }
         // A server that is warming up is slow, and what was lost took no time that says anything.
-        let slowdown = if is_success && !ended.is_warming_up {
-            (ended.elapsed.as_ms() / ended.usual_ms).min(MAX_SLOWDOWN)
+        let slowdown = if is_success && !end.is_warming_up {
+            (end.elapsed.as_ms() / end.usual_ms).min(MAX_SLOWDOWN)
         } else {
             1.0
         };
         let is_slow = slowdown > SLOW_FACTOR;
-        let usage = &mut self.health(attempt.zone).usages[ended.class];
+        let usage = &mut self.health_mut(attempt.zone).usages[end.class];
         usage.record(attempt.server, is_lost, slowdown, is_slow, MAX_SAMPLES);
-        let verdict = Verdict {
-            is_good: is_success && ended.is_in_time && !is_slow,
+        let assessment = OutcomeAssessment {
+            is_good: is_success && end.is_in_time && !is_slow,
             is_bad: is_lost || is_slow,
             sent_at: attempt.sent_at,
         };
-        self.judge(context, ZoneScope { zone: attempt.zone, class: Some(ended.class) }, verdict, actions);
-        self.judge(context, ZoneScope::whole(attempt.zone), verdict, actions)
+        self.update_phase(
+            context,
+            ZoneScope { zone: attempt.zone, class: Some(end.class) },
+            assessment,
+            actions,
+        );
+        self.update_phase(context, ZoneScope::whole_zone(attempt.zone), assessment, actions)
     }
 
     /// Takes in that an attempt has had no response for too long; none if its zone has responded since it was sent.
@@ -174,77 +179,77 @@
         attempt: ZoneAttempt,
         actions: &mut Vec<Action>,
     ) -> Option<ZoneChange> {
-        let (scope, class_count) = (ZoneScope::whole(attempt.zone), self.class_count);
-        let health = self.health(attempt.zone);
+        let (scope, class_count) = (ZoneScope::whole_zone(attempt.zone), self.class_count);
+        let health = self.health_mut(attempt.zone);
         if attempt.sent_at < health.last_response_at {
             return None;
         }
-        let silence = health.record_unanswered(attempt.server, attempt.sent_at);
+        let unanswered = health.record_unanswered(attempt.server, attempt.sent_at);
         let phase = health.usages[class_count].phase;
         let is_in_use = matches!(phase, ZonePhase::Serving | ZonePhase::Leaving);
         // If the whole fleet is silent, no other zone has responded to anything that was sent after both.
-        let does_other_respond =
+        let has_other_zone_responded =
             |since: Time| self.zones.iter().any(|(z, h)| *z != attempt.zone && h.last_answered_send > since);
-        if is_in_use && silence.second_server_since.is_some_and(does_other_respond) {
-            self.change(context, scope, 0.0, "silent", actions);
+        if is_in_use && unanswered.second_server_sent_at.is_some_and(has_other_zone_responded) {
+            self.set_share(context, scope, 0.0, "silent", actions);
             return Some(ZoneChange::Unresponsive(attempt.zone));
         }
-        if !is_in_use && silence.is_new {
-            let verdict = Verdict { is_good: false, is_bad: true, sent_at: attempt.sent_at };
-            return Some(self.judge(context, scope, verdict, actions));
+        if !is_in_use && unanswered.is_new {
+            let assessment = OutcomeAssessment { is_good: false, is_bad: true, sent_at: attempt.sent_at };
+            return Some(self.update_phase(context, scope, assessment, actions));
         }
         Some(ZoneChange::None)
     }
 
     /// Decides what follows from one outcome.
-    fn judge(
+    fn update_phase(
         &mut self,
         context: &mut ZoneContext,
         scope: ZoneScope,
-        verdict: Verdict,
+        assessment: OutcomeAssessment,
         actions: &mut Vec<Action>,
     ) -> ZoneChange {
         let now = context.now;
-        let is_whole = scope.class.is_none();
-        let good_responses_per_step = match (is_whole, context.is_sparse) {
+        let is_whole_zone = scope.class.is_none();
+        let good_responses_per_step = match (is_whole_zone, context.is_sparse) {
             (false, _) => GOOD_RESPONSES_PER_STEP_OF_CLASS,
             (true, true) => GOOD_RESPONSES_PER_STEP_SPARSE,
             (true, false) => GOOD_RESPONSES_PER_STEP,
         };
-        let usage = self.usage(scope);
-        let Verdict { is_good, is_bad, sent_at } = verdict;
-        let was_sent_since = sent_at >= usage.since;
-        usage.good += u32::from(is_good && was_sent_since);
-        usage.bad += u32::from(is_bad && was_sent_since);
+        let usage = self.usage_mut(scope);
+        let OutcomeAssessment { is_good, is_bad, sent_at } = assessment;
+        let was_sent_in_phase = sent_at >= usage.since;
+        usage.good_responses += u32::from(is_good && was_sent_in_phase);
+        usage.bad_responses += u32::from(is_bad && was_sent_in_phase);
         let is_false_alarm =
-            is_whole && now.since(usage.since) <= FIRST_PROBATION_INTERVAL * FALSE_ALARM_INTERVALS;
+            is_whole_zone && now.since(usage.since) <= FIRST_PROBATION_INTERVAL * FALSE_ALARM_INTERVALS;
         let (share, reason) = match usage.phase {
             ZonePhase::Away if is_good && is_false_alarm => (1.0, "not away"),
-            ZonePhase::Away if is_good && (is_whole || was_sent_since) => {
+            ZonePhase::Away if is_good && (is_whole_zone || was_sent_in_phase) => {
                 (FIRST_RECOVERY_SHARE, "a trial went well")
             }
-            ZonePhase::Away if is_bad && was_sent_since => {
+            ZonePhase::Away if is_bad && was_sent_in_phase => {
                 usage.back_off(now, MAX_PROBATION_INTERVAL);
                 return ZoneChange::None;
             }
-            ZonePhase::Returning if usage.bad >= BAD_RESPONSES_TO_RELAPSE => (0.0, "relapsed"),
-            ZonePhase::Returning if usage.good >= good_responses_per_step => {
+            ZonePhase::Returning if usage.bad_responses >= BAD_RESPONSES_TO_RELAPSE => (0.0, "relapsed"),
+            ZonePhase::Returning if usage.good_responses >= good_responses_per_step => {
                 (2.0 * usage.share, "answers well")
             }
             ZonePhase::Leaving if usage.samples >= SETTLED_SAMPLES => (usage.share, "no worse"),
             ZonePhase::Serving | ZonePhase::Leaving
-                if usage.samples >= MIN_SAMPLES && usage.is_adverse_at_several_servers() =>
+                if usage.samples >= MIN_SAMPLES && usage.has_bad_outcomes_at_several_servers() =>
             {
                 let share = if usage.share > FIRST_RECOVERY_SHARE { 0.5 * usage.share } else { 0.0 };
-                match self.complaint(scope) {
+                match self.detect_problem(scope) {
                     Some(reason) => (share, reason),
                     None => return ZoneChange::None,
                 }
             }
             _ => return ZoneChange::None,
         };
-        self.change(context, scope, share, reason, actions);
-        if is_whole {
+        self.set_share(context, scope, share, reason, actions);
+        if is_whole_zone {
             ZoneChange::Changed(scope.zone)
         } else {
             ZoneChange::None
@@ -252,13 +257,13 @@
     }
 
     /// What is wrong with a zone next to the others, if anything is.
-    fn complaint(&mut self, scope: ZoneScope) -> Option<&'static str> {
-        let usage = self.usage(scope);
-        let (samples, loss, slowdown) = (usage.samples, usage.loss, usage.slowdown);
-        let (others_loss, others_slowdown) = self.mean_of_others(scope)?;
-        let expected = (others_loss + MIN_EXCESS_LOSS).min(MAX_EXPECTED_LOSS);
-        let deviation = (samples * expected * (1.0 - expected)).sqrt();
-        if (loss - expected) * samples > MIN_DEVIATIONS * deviation {
+    fn detect_problem(&mut self, scope: ZoneScope) -> Option<&'static str> {
+        let usage = self.usage_mut(scope);
+        let (samples, loss_rate, slowdown) = (usage.samples, usage.loss_rate, usage.slowdown);
+        let (others_loss_rate, others_slowdown) = self.mean_of_other_zones(scope)?;
+        let expected_loss_rate = (others_loss_rate + MIN_EXCESS_LOSS_RATE).min(MAX_EXPECTED_LOSS_RATE);
+        let standard_deviation = (samples * expected_loss_rate * (1.0 - expected_loss_rate)).sqrt();
+        if (loss_rate - expected_loss_rate) * samples > MIN_STANDARD_DEVIATIONS * standard_deviation {
             Some("failing")
         } else if slowdown > SLOW_FACTOR * others_slowdown.max(1.0) {
             Some("slow")
@@ -268,21 +273,21 @@
     }
 
     /// The mean loss and slowdown of the other zones that are wholly in use; none if too few outcomes tell.
-    fn mean_of_others(&self, scope: ZoneScope) -> Option<(f64, f64)> {
-        let index = self.index(scope);
+    fn mean_of_other_zones(&self, scope: ZoneScope) -> Option<(f64, f64)> {
+        let index = self.usage_index(scope);
         let others = self.zones.iter().filter(|(zone, _)| **zone != scope.zone);
-        let is_judged =
+        let is_comparable =
             |usage: &&ZoneUsage| usage.phase == ZonePhase::Serving && usage.samples >= MIN_SAMPLES;
         let others: Vec<&ZoneUsage> =
-            others.map(|(_, health)| &health.usages[index]).filter(is_judged).collect();
+            others.map(|(_, health)| &health.usages[index]).filter(is_comparable).collect();
         let mean = |value: fn(&ZoneUsage) -> f64| {
             others.iter().map(|usage| value(usage)).sum::<f64>() / others.len() as f64
         };
-        (!others.is_empty()).then(|| (mean(|usage| usage.loss), mean(|usage| usage.slowdown)))
+        (!others.is_empty()).then(|| (mean(|usage| usage.loss_rate), mean(|usage| usage.slowdown)))
     }
 
     /// Changes how far a zone is in use.
-    fn change(
+    fn set_share(
         &mut self,
         context: &mut ZoneContext,
         scope: ZoneScope,
@@ -293,7 +298,7 @@
         let now = context.now;
         let min_interval = self.min_probation_interval(context, scope.zone);
         let jitter = 0.75 + 0.5 * context.rng.f64();
-        let usage = self.usage(scope);
+        let usage = self.usage_mut(scope);
         let phase = usage.phase_for(share);
         let interval = FIRST_PROBATION_INTERVAL * 2f64.powi(usage.relapses as i32);
         let is_relapse =
@@ -309,16 +314,16 @@
             share,
             reason,
             since: now,
-            next_probation: now + probation_interval * jitter,
+            next_probation_at: now + probation_interval * jitter,
             probation_interval,
-            is_health_checked: scope.class.is_some(),
+            has_passed_health_check: scope.class.is_some(),
             relapses,
-            bad: if phase == usage.phase { usage.bad } else { 0 },
+            bad_responses: if phase == usage.phase { usage.bad_responses } else { 0 },
             ..ZoneUsage::default()
         };
         self.update_is_any_restricted();
         if scope.class.is_none() {
-            self.health(scope.zone).clear_unanswered();
+            self.health_mut(scope.zone).clear_unanswered();
         }
         let class = scope.class.map_or(String::new(), |class| format!(" for class {class}"));
         let text = format!("zone is {phase:?}{class} with {:.0}% of its draws: {reason}", 100.0 * share);
@@ -328,28 +333,29 @@
     /// The probation requests of all balancers together stay within what the zone's servers take when they start.
     fn min_probation_interval(&self, context: &ZoneContext, zone: ZoneId) -> Span {
         let servers = context.open_servers.members(zone).len().max(1);
-        let requests_at_once = self.requests_per_starting_server * servers as f64;
+        let concurrent_requests = self.concurrent_requests_per_starting_server * servers as f64;
         let latencies = (0..self.class_count).map(|class| context.latencies.usual_ms(class));
         let slowest_ms = latencies.fold(0.0, f64::max);
-        Span::from_ms(slowest_ms * f64::from(self.balancers) / requests_at_once).min(MAX_PROBATION_INTERVAL)
+        Span::from_ms(slowest_ms * f64::from(self.balancers) / concurrent_requests)
+            .min(MAX_PROBATION_INTERVAL)
     }
 
-    fn index(&self, scope: ZoneScope) -> usize {
+    fn usage_index(&self, scope: ZoneScope) -> usize {
         scope.class.unwrap_or(self.class_count)
     }
 
-    fn health(&mut self, zone: ZoneId) -> &mut ZoneHealth {
+    fn health_mut(&mut self, zone: ZoneId) -> &mut ZoneHealth {
         let usages = self.class_count + 1;
         self.zones.entry(zone).or_insert_with(|| ZoneHealth::new(usages))
     }
 
-    fn usage(&mut self, scope: ZoneScope) -> &mut ZoneUsage {
-        let index = self.index(scope);
-        &mut self.health(scope.zone).usages[index]
+    fn usage_mut(&mut self, scope: ZoneScope) -> &mut ZoneUsage {
+        let index = self.usage_index(scope);
+        &mut self.health_mut(scope.zone).usages[index]
     }
 
     /// The health of a zone that has one, if any zone is less than wholly in use.
-    fn restricted(&self, zone: ZoneId) -> Option<&ZoneHealth> {
+    fn restricted_health(&self, zone: ZoneId) -> Option<&ZoneHealth> {
         if self.is_any_restricted {
             self.zones.get(&zone)
         } else {
--- a/src/zones/evidence.rs
+++ b/src/zones/evidence.rs
@@ -15,7 +15,7 @@
 
 impl ZoneScope {
     /// The zone as a whole.
-    pub(super) fn whole(zone: ZoneId) -> Self {
+    pub(super) fn whole_zone(zone: ZoneId) -> Self {
         ZoneScope { zone, class: None }
     }
 }
--- a/src/zones/health.rs
+++ b/src/zones/health.rs
@@ -3,11 +3,11 @@
 use crate::{ServerId, Span, Time, ZonePhase};
 
 /// Responses that speak against a zone that are kept at most.
-const MAX_ADVERSE: usize = 12;
+const MAX_BAD_OUTCOMES: usize = 12;
 /// The least of them that count as evidence against the zone.
-const MIN_ADVERSE: usize = 3;
+const MIN_BAD_OUTCOMES: usize = 3;
 /// The fraction of them that one server may make up; more of them is that server's trouble.
-const MAX_ADVERSE_SHARE_OF_SERVER: f64 = 0.75;
+const MAX_BAD_OUTCOME_SHARE_OF_ONE_SERVER: f64 = 0.75;
 /// Attempts without a response that are kept of a zone at most.
 const MAX_UNANSWERED: usize = 64;
 
@@ -22,22 +22,22 @@
     /// Since when. All evidence below has been gathered since then.
     pub(super) since: Time,
     /// When its next probation request is due, and the interval between two.
-    pub(super) next_probation: Time,
+    pub(super) next_probation_at: Time,
     pub(super) probation_interval: Span,
     /// It has passed a health check since it was left, and no request has been tried yet.
-    pub(super) is_health_checked: bool,
+    pub(super) has_passed_health_check: bool,
     /// How often it has failed again soon after its recovery.
     pub(super) relapses: u32,
     /// Good responses and bad ones to what was sent since then; the bad ones since the phase began.
-    pub(super) good: u32,
-    pub(super) bad: u32,
+    pub(super) good_responses: u32,
+    pub(super) bad_responses: u32,
     /// The number of the last outcomes, up to a bound, the fraction of them that were lost, and their mean latency
     /// relative to the usual one.
     pub(super) samples: f64,
-    pub(super) loss: f64,
+    pub(super) loss_rate: f64,
     pub(super) slowdown: f64,
     /// The servers of the last outcomes that spoke against the zone.
-    pub(super) adverse: Vec<ServerId>,
+    pub(super) bad_outcome_servers: Vec<ServerId>,
 }
 
 impl Default for ZoneUsage {
@@ -47,16 +47,16 @@
             share: 1.0,
             reason: "",
             since: Time(0),
-            next_probation: Time(0),
+            next_probation_at: Time(0),
             probation_interval: Span::ZERO,
-            is_health_checked: false,
+            has_passed_health_check: false,
             relapses: 0,
-            good: 0,
-            bad: 0,
+            good_responses: 0,
+            bad_responses: 0,
             samples: 0.0,
-            loss: 0.0,
+            loss_rate: 0.0,
             slowdown: 1.0,
-            adverse: Vec::new(),
+            bad_outcome_servers: Vec::new(),
         }
     }
 }
@@ -72,11 +72,11 @@
         max_samples: f64,
     ) {
         self.samples = (self.samples + 1.0).min(max_samples);
-        self.loss += (f64::from(is_lost) - self.loss) / self.samples;
+        self.loss_rate += (f64::from(is_lost) - self.loss_rate) / self.samples;
         self.slowdown += (slowdown - self.slowdown) / self.samples;
         if is_lost || is_slow {
-            self.adverse.push(server);
-            self.adverse.drain(..self.adverse.len().saturating_sub(MAX_ADVERSE));
+            self.bad_outcome_servers.push(server);
+            self.bad_outcome_servers.drain(..self.bad_outcome_servers.len().saturating_sub(MAX_BAD_OUTCOMES));
         }
     }
 
@@ -91,18 +91,19 @@
     }
 
     /// Whether what speaks against the zone comes from several servers.
-    pub(super) fn is_adverse_at_several_servers(&self) -> bool {
-        let count = |server: ServerId| self.adverse.iter().filter(|s| **s == server).count() as f64;
-        let all = self.adverse.len();
-        let max_count = MAX_ADVERSE_SHARE_OF_SERVER * all as f64;
-        all >= MIN_ADVERSE && self.adverse.iter().all(|server| count(*server) <= max_count)
+    pub(super) fn has_bad_outcomes_at_several_servers(&self) -> bool {
+        let count =
+            |server: ServerId| self.bad_outcome_servers.iter().filter(|s| **s == server).count() as f64;
+        let all = self.bad_outcome_servers.len();
+        let max_count = MAX_BAD_OUTCOME_SHARE_OF_ONE_SERVER * all as f64;
+        all >= MIN_BAD_OUTCOMES && self.bad_outcome_servers.iter().all(|server| count(*server) <= max_count)
     }
 
     /// Doubles the interval between probation requests after one that failed.
     pub(super) fn back_off(&mut self, now: Time, max_interval: Span) {
         self.probation_interval =
             (self.probation_interval * 2.0).min(max_interval.max(self.probation_interval));
-        self.next_probation = now + self.probation_interval;
+        self.next_probation_at = now + self.probation_interval;
     }
 }
 
@@ -126,11 +127,11 @@
 }
 
 /// What another attempt without a response says of its zone.
-pub(super) struct Silence {
+pub(super) struct UnansweredSummary {
     /// The attempt was not known to be unanswered.
     pub(super) is_new: bool,
     /// When the first attempt was sent to a second server that owes a response.
-    pub(super) second_server_since: Option<Time>,
+    pub(super) second_server_sent_at: Option<Time>,
 }
 
 impl ZoneHealth {
@@ -152,7 +153,7 @@
     }
 
     /// Takes in that a server owes a response to an attempt that was sent then.
-    pub(super) fn record_unanswered(&mut self, server: ServerId, sent_at: Time) -> Silence {
+    pub(super) fn record_unanswered(&mut self, server: ServerId, sent_at: Time) -> UnansweredSummary {
         let attempt = Unanswered { server, sent_at };
         let is_new = !self.unanswered.contains(&attempt);
         if is_new {
@@ -162,7 +163,7 @@
         self.unanswered.truncate(MAX_UNANSWERED);
         let first_server = self.unanswered.first().map(|attempt| attempt.server);
         let second = self.unanswered.iter().find(|attempt| Some(attempt.server) != first_server);
-        Silence { is_new, second_server_since: second.map(|attempt| attempt.sent_at) }
+        UnansweredSummary { is_new, second_server_sent_at: second.map(|attempt| attempt.sent_at) }
     }
 
     /// Forgets the attempts without a response.
--- a/src/zones/probation.rs
+++ b/src/zones/probation.rs
@@ -11,12 +11,13 @@
             return None;
         }
         let is_due = |usage: &ZoneUsage| {
-            let may_respond =
-                usage.phase == ZonePhase::Returning || !self.has_health_checks || usage.is_health_checked;
+            let may_respond = usage.phase == ZonePhase::Returning
+                || !self.has_health_checks
+                || usage.has_passed_health_check;
             let extra = if is_idempotent { Span::ZERO } else { usage.probation_interval * 2.0 };
             matches!(usage.phase, ZonePhase::Away | ZonePhase::Returning)
                 && may_respond
-                && now >= usage.next_probation + extra
+                && now >= usage.next_probation_at + extra
         };
         let is_whole_due = |health: &ZoneHealth| is_due(&health.usages[self.class_count]);
         let is_class_due = |health: &ZoneHealth| {
@@ -25,15 +26,15 @@
         let find = |is_due: &dyn Fn(&ZoneHealth) -> bool| {
             self.zones.iter().find(|(_, health)| is_due(health)).map(|(zone, _)| *zone)
         };
-        let whole = find(&is_whole_due).map(ZoneScope::whole);
+        let whole = find(&is_whole_due).map(ZoneScope::whole_zone);
         whole.or_else(|| find(&is_class_due).map(|zone| ZoneScope { zone, class: Some(class) }))
     }
 
     /// Takes in that a probation request has been sent.
     pub(crate) fn record_probation(&mut self, now: Time, scope: ZoneScope) {
-        let usage = self.usage(scope);
-        usage.next_probation = now + usage.probation_interval;
-        usage.is_health_checked = scope.class.is_some();
+        let usage = self.usage_mut(scope);
+        usage.next_probation_at = now + usage.probation_interval;
+        usage.has_passed_health_check = scope.class.is_some();
     }
 
     /// The zones that are due for a health check, so that no request has to find out whether they respond.
@@ -42,7 +43,7 @@
             return Vec::new();
         }
         let is_due = |usage: &ZoneUsage| {
-            usage.phase == ZonePhase::Away && !usage.is_health_checked && now >= usage.next_probation
+            usage.phase == ZonePhase::Away && !usage.has_passed_health_check && now >= usage.next_probation_at
         };
         let due = self.zones.iter().filter(|(_, health)| is_due(&health.usages[self.class_count]));
         due.map(|(zone, _)| *zone).collect()
@@ -50,15 +51,15 @@
 
     /// Takes in that a health check has been sent to a zone.
     pub(crate) fn record_health_check_sent(&mut self, now: Time, zone: ZoneId) {
-        let usage = self.usage(ZoneScope::whole(zone));
-        usage.next_probation = now + usage.probation_interval;
+        let usage = self.usage_mut(ZoneScope::whole_zone(zone));
+        usage.next_probation_at = now + usage.probation_interval;
     }
 
     /// Takes in the result of a health check; a zone that passes one is sent a probation request at once.
     pub(crate) fn record_health_check(&mut self, now: Time, zone: ZoneId, is_success: bool) {
-        let usage = self.usage(ZoneScope::whole(zone));
+        let usage = self.usage_mut(ZoneScope::whole_zone(zone));
         if is_success && usage.phase == ZonePhase::Away {
-            (usage.is_health_checked, usage.next_probation) = (true, now);
+            (usage.has_passed_health_check, usage.next_probation_at) = (true, now);
         }
     }
 }
--- a/src/zones/tests.rs
+++ b/src/zones/tests.rs
@@ -42,7 +42,7 @@
             rng: &mut self.rng,
         };
         let attempt = ZoneAttempt { zone, server: ServerId(server), sent_at: self.now - elapsed };
-        let ended = ZoneOutcome {
+        let end = ZoneOutcome {
             class: 0,
             outcome,
             elapsed,
@@ -50,7 +50,7 @@
             usual_ms: 10.0,
             is_warming_up: false,
         };
-        self.zones.record_outcome(&mut context, attempt, ended, &mut Vec::new())
+        self.zones.record_outcome(&mut context, attempt, end, &mut Vec::new())
     }
 
     /// Responses of the healthy zone between errors of the failing one, from so many servers.
@@ -124,7 +124,7 @@
 fn each_failed_probation_request_doubles_the_wait_for_the_next_up_to_a_bound() {
     let mut usage = ZoneUsage { probation_interval: FIRST_PROBATION_INTERVAL, ..ZoneUsage::default() };
     usage.back_off(Time(0), MAX_PROBATION_INTERVAL);
-    assert_eq!(usage.next_probation, Time(0) + FIRST_PROBATION_INTERVAL * 2.0);
+    assert_eq!(usage.next_probation_at, Time(0) + FIRST_PROBATION_INTERVAL * 2.0);
     (0..9).for_each(|_| usage.back_off(Time(0), MAX_PROBATION_INTERVAL));
     assert_eq!(usage.probation_interval, MAX_PROBATION_INTERVAL);
 }
@@ -133,12 +133,12 @@
 fn the_silence_of_one_server_says_nothing_of_its_zone() {
     let mut health = ZoneHealth::new(2);
     for sent_ms in [10.0, 20.0, 30.0] {
-        let silence = health.record_unanswered(ServerId(1), Time::from_ms(sent_ms));
-        assert!(silence.is_new && silence.second_server_since.is_none());
+        let unanswered = health.record_unanswered(ServerId(1), Time::from_ms(sent_ms));
+        assert!(unanswered.is_new && unanswered.second_server_sent_at.is_none());
     }
-    let silence = health.record_unanswered(ServerId(2), Time::from_ms(15.0));
-    assert_eq!(silence.second_server_since, Some(Time::from_ms(15.0)));
+    let unanswered = health.record_unanswered(ServerId(2), Time::from_ms(15.0));
+    assert_eq!(unanswered.second_server_sent_at, Some(Time::from_ms(15.0)));
     assert!(!health.record_unanswered(ServerId(2), Time::from_ms(15.0)).is_new);
     health.record_response(Time::from_ms(40.0), Time::from_ms(35.0));
-    assert!(health.record_unanswered(ServerId(2), Time::from_ms(36.0)).second_server_since.is_none());
+    assert!(health.record_unanswered(ServerId(2), Time::from_ms(36.0)).second_server_sent_at.is_none());
 }
