--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -1,7 +1,10 @@
-//! The servers: the endpoint list, cordons, evacuated zones, and which servers are open to requests.
+//! The endpoint list, cordons and evacuated zones, and which servers may be sent requests.
 //!
-//! A server has a slot, and all other parts name it by that. The slot of a server that has been removed is freed a while
-//! later, so that what is kept goes by the present list and not by all servers that ever were.
+//! Each server has a slot, an index by which the other modules refer to it. The slot of a removed server is freed after
+//! a retention time, so that memory use depends on the current list and not on all servers that were ever listed.
+//!
+//! A server is open if it is listed as serving, is not cordoned and its zone is not evacuated. A server that is listed
+//! as serving and is not open is disabled.
 
 mod polling;
 #[cfg(test)]
@@ -18,56 +21,56 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most slots that are freed at a time.
+/// The maximum number of slots that one call of [`Endpoints::free_slots`] frees.
 const MAX_FREED_SLOTS: usize = 100;
 
-/// The servers that candidates are drawn from.
+/// The open servers that candidates are drawn from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DrawPool {
-    /// The balancer's own zone.
+    /// Those in the balancer's own zone.
     OwnZone,
-    /// The other zones of its region, where regions are known.
+    /// Those in the other zones of the balancer's region; none if regions are not known.
     OwnRegion,
-    /// All that the request may be sent to.
+    /// All that the retry scope of the request permits.
     All,
 }
 
-/// All servers.
+/// All servers by slot, with indexes of the open ones.
 pub(crate) struct Endpoints {
-    /// By slot; a free slot holds the server that left it.
+    /// By slot; a free slot keeps the record of its last server until it is reused.
     servers: Vec<Server>,
-    /// The slots of the servers that are listed, or were removed a short while ago and may be back.
+    /// The slots of the listed servers, and of removed ones until their slot is freed.
     slots: BTreeMap<ServerId, usize>,
     free_slots: Vec<usize>,
-    /// When the slots of removed servers are to be freed.
+    /// When the slots of removed servers are due to be freed.
     slot_expiry: DueTimes,
-    /// How long a removed server keeps its slot: a new process needs as long to warm up.
+    /// How long a removed server keeps its slot: the warm-up time of a new process.
     slot_retention: Span,
     open: SlotSet,
-    /// Servers that the endpoint list has as serving and that operators hold back.
+    /// Servers that are listed as serving, but cordoned or in an evacuated zone.
     disabled: SlotSet,
     open_by_zone: SlotGroups<ZoneId>,
     open_by_cell: SlotGroups<CellId>,
-    /// The open servers in other zones of the own region.
+    /// The open servers in the other zones of the own region.
     open_in_region: SlotSet,
     /// All servers with a slot.
     by_zone: SlotGroups<ZoneId>,
     own_zone: ZoneId,
-    /// The cells matter: some class may be retried in its cell only.
+    /// Some class may be retried only within its cell, so that open servers are also indexed by cell.
     has_cell_scope: bool,
     regions: BTreeMap<ZoneId, u32>,
-    /// Kept apart from the endpoint list, which must not lift a cordon.
+    /// Kept separately from the endpoint list, since an update of the list must not end a cordon.
     cordoned: BTreeSet<ServerId>,
     evacuated: BTreeSet<ZoneId>,
     balancers: usize,
-    /// The most servers that were open at a time.
+    /// The highest number of servers that have been open at the same time.
     max_open_seen: usize,
     is_sparse: bool,
     are_all_disabled: bool,
 }
 
 impl Endpoints {
-    /// No servers yet.
+    /// Creates an empty list.
     pub(crate) fn new(settings: &Settings) -> Self {
         let has_cell_scope = settings.classes.iter().any(|class| {
             matches!(class.idempotency, Idempotency::Deduplicated { scope: DeduplicationScope::Cell, .. })
@@ -96,7 +99,7 @@
         }
     }
 
-    /// The slot of a server.
+    /// The slot of a server, unless it has none: it was never listed, or its slot has been freed.
     pub(crate) fn slot(&self, server: ServerId) -> Option<usize> {
         self.slots.get(&server).copied()
     }
@@ -106,42 +109,42 @@
         &self.servers[slot]
     }
 
-    /// The server in a slot; [`Self::reindex`] has to follow a change of its endpoint.
+    /// The server in a slot. A change of its endpoint must be followed by [`Self::reindex`].
     pub(crate) fn server_mut(&mut self, slot: usize) -> &mut Server {
         &mut self.servers[slot]
     }
 
-    /// All servers, by slot.
+    /// All servers by slot, including those whose slots have been freed.
     pub(crate) fn servers(&self) -> &[Server] {
         &self.servers
     }
 
-    /// The servers that the endpoint list has, draining ones included.
+    /// The servers in the endpoint list, including draining ones.
     pub(crate) fn listed(&self) -> impl Iterator<Item = &Server> {
         self.servers.iter().filter(|server| server.is_listed())
     }
 
-    /// The open servers.
+    /// The slots of the open servers.
     pub(crate) fn open(&self) -> &[usize] {
         self.open.members()
     }
 
-    /// The open servers by zone.
+    /// The slots of the open servers by zone.
     pub(crate) fn open_by_zone(&self) -> &SlotGroups<ZoneId> {
         &self.open_by_zone
     }
 
-    /// All servers of a zone.
+    /// The slots of all servers of a zone, open or not.
     pub(crate) fn in_zone(&self, zone: ZoneId) -> &[usize] {
         self.by_zone.members(zone)
     }
 
-    /// Whether the endpoint list has a server in a zone.
+    /// Whether any server of a zone is in the endpoint list.
     pub(crate) fn has_listed_in(&self, zone: ZoneId) -> bool {
         self.in_zone(zone).iter().any(|&slot| self.servers[slot].is_listed())
     }
 
-    /// The open servers that candidates for a request are drawn from.
+    /// The slots of the open servers that candidates for a request are drawn from.
     pub(crate) fn draw_pool(&self, pool: DrawPool, scope: RetryScope) -> &[usize] {
         match (pool, scope) {
             (DrawPool::OwnZone, _) => self.open_by_zone.members(self.own_zone),
@@ -152,18 +155,19 @@
         }
     }
 
-    /// There are more balancers than servers: most of a server's load is other balancers', and own counts are nearly all
-    /// alike. A fleet that shrinks for a while makes no traffic sparse.
+    /// Whether traffic is sparse: there are more balancers than there have ever been open servers at the same time.
+    /// Most of a server's load then comes from other balancers, and this balancer's own request counts are nearly all
+    /// equal. A temporary decrease in the number of open servers does not make traffic sparse.
     pub(crate) fn is_sparse(&self) -> bool {
         self.is_sparse
     }
 
-    /// Operators hold back all servers that the endpoint list has as serving.
+    /// Whether servers are listed as serving and all of them are cordoned or in evacuated zones.
     pub(crate) fn are_all_disabled(&self) -> bool {
         self.are_all_disabled
     }
 
-    /// Whether regions are known.
+    /// Whether the regions of zones are known.
     pub(crate) fn has_regions(&self) -> bool {
         !self.regions.is_empty()
     }
@@ -173,19 +177,19 @@
         self.regions.get(&zone) != self.regions.get(&self.own_zone)
     }
 
-    /// Whether a zone is another one of the own region, where regions are known.
+    /// Whether a zone is another zone of the own region; false if regions are not known.
     fn is_other_zone_of_region(&self, zone: ZoneId) -> bool {
         zone != self.own_zone && self.has_regions() && !self.is_other_region(zone)
     }
 
-    /// Whether the endpoint list and the operators let a server be sent requests.
+    /// Whether a server is listed as serving, is not cordoned and its zone is not evacuated.
     fn is_open(&self, endpoint: &Endpoint) -> bool {
         let is_disabled = self.cordoned.contains(&endpoint.server) || self.evacuated.contains(&endpoint.zone);
         endpoint.status == Status::Serving && !is_disabled
     }
 
-    /// Takes in entries of the endpoint list, all of them if it is `complete`. Returns the slots that have changed, which
-    /// have to be indexed anew.
+    /// Applies entries of the endpoint list; if it is `complete`, servers without an entry count as removed. Returns
+    /// the slots that may have changed, which the caller must reindex.
     pub(crate) fn update(&mut self, now: Time, entries: Vec<Endpoint>, complete: bool) -> Vec<usize> {
         let mut changed: Vec<usize> = Vec::with_capacity(entries.len());
         if complete {
@@ -226,15 +230,15 @@
         slot
     }
 
-    /// Schedules the end of a slot whose server has been removed, or takes that back.
+    /// Schedules a slot to be freed if its server has been removed, or cancels that if the server is listed again.
     pub(crate) fn schedule_removal(&mut self, now: Time, slot: usize) {
         let free_at = now + self.slot_retention;
         let is_removed = !self.servers[slot].is_listed();
         self.slot_expiry.set(slot, is_removed.then(|| self.slot_expiry.due_at(slot).unwrap_or(free_at)));
     }
 
-    /// Updates the indexes after a change of a server, of its zone or of what operators say of them. Without a change
-    /// this changes nothing, not even the order in which servers are drawn.
+    /// Updates the indexes after a change of a server's endpoint, its cordon, or the evacuation or region of its zone.
+    /// If nothing has changed, the indexes stay as they are, including the order in which servers are drawn.
     pub(crate) fn reindex(&mut self, slot: usize) {
         let endpoint = &self.servers[slot].endpoint;
         let (zone, cell) = (endpoint.zone, endpoint.cell);
@@ -249,7 +253,7 @@
         self.open_in_region.set(slot, is_open && self.is_other_zone_of_region(zone));
     }
 
-    /// Updates what follows from the number of open servers, once all changed ones have been indexed.
+    /// Updates the values that depend on the number of open servers. Call this once all changed slots are reindexed.
     pub(crate) fn update_totals(&mut self) {
         let open = self.open.members().len();
         self.are_all_disabled = open == 0 && !self.disabled.members().is_empty();
@@ -257,12 +261,12 @@
         self.is_sparse = self.balancers > self.max_open_seen;
     }
 
-    /// Cordons a server; false if it was cordoned already. Its slot has to be indexed anew.
+    /// Cordons a server; false if it was already cordoned. The caller must reindex its slot.
     pub(crate) fn cordon(&mut self, server: ServerId) -> bool {
         self.cordoned.insert(server)
     }
 
-    /// Ends the cordon of a server; false if there was none. Its slot has to be indexed anew.
+    /// Ends the cordon of a server; false if there was none. The caller must reindex its slot.
     pub(crate) fn uncordon(&mut self, server: ServerId) -> bool {
         self.cordoned.remove(&server)
     }
@@ -272,18 +276,18 @@
         self.cordoned.contains(&server)
     }
 
-    /// Evacuates a zone; false if it was evacuated already. Its slots have to be indexed anew.
+    /// Evacuates a zone; false if it was already evacuated. The caller must reindex its slots.
     pub(crate) fn evacuate(&mut self, zone: ZoneId) -> bool {
         self.evacuated.insert(zone)
     }
 
-    /// Ends the evacuation of a zone; false if there was none. Its slots have to be indexed anew.
+    /// Ends the evacuation of a zone; false if there was none. The caller must reindex its slots.
     pub(crate) fn restore_zone(&mut self, zone: ZoneId) -> bool {
         self.evacuated.remove(&zone)
     }
 
-    /// Sets the regions. Returns the zones that have come into the own region or left it, whose slots have to be indexed
-    /// anew.
+    /// Sets the region of each zone. Returns the zones that are now in the own region and were not, or the reverse; the
+    /// caller must reindex their slots.
     pub(crate) fn set_regions(&mut self, regions: BTreeMap<ZoneId, u32>) -> Vec<ZoneId> {
         let zones = self.open_by_zone.groups();
         let before: Vec<_> = zones.map(|zone| (zone, self.is_other_zone_of_region(zone))).collect();
@@ -292,9 +296,10 @@
         before.into_iter().filter(has_changed).map(|(zone, _)| zone).collect()
     }
 
-    /// Frees the slots of servers that were removed a while ago; a server that is listed again later counts as new.
-    /// Requests, affinity keys and zones name a server by its id. A slot that `is_in_use` is freed later, as is that of
-    /// a server that operators hold back or have just restored.
+    /// Frees the slots of servers whose retention time has ended; a server that is listed again later counts as new.
+    /// Requests, affinity keys and zones refer to servers by id, so they hold no outdated slots. A slot is kept for
+    /// another retention time if it `is_in_use`, has attempts in flight, or its server is cordoned or was restored by
+    /// operators less than a retention time ago.
     pub(crate) fn free_slots(&mut self, now: Time, is_in_use: impl Fn(usize) -> bool) {
         for slot in self.slot_expiry.due(now).take(MAX_FREED_SLOTS).collect::<Vec<_>>() {
             let server = &self.servers[slot];
@@ -313,13 +318,12 @@
         }
     }
 
-    /// The number of free slots.
     #[cfg(test)]
     pub(crate) fn free_slot_count(&self) -> usize {
         self.free_slots.len()
     }
 
-    /// A cordoned server.
+    /// The cordoned server with the lowest id.
     #[cfg(test)]
     pub(crate) fn any_cordoned(&self) -> Option<ServerId> {
         self.cordoned.first().copied()
--- a/src/endpoints/polling.rs
+++ b/src/endpoints/polling.rs
@@ -1,22 +1,23 @@
-//! When the endpoint list is polled, and the backoff after failures.
+//! When to poll the endpoint list, and the backoff after failed polls.
 
 use crate::{Discovery, Settings, Span, Time};
 
-/// The shortest backoff, doubled on each failure up to [`Settings::max_poll_interval`].
+/// The minimum backoff. It doubles on each failure, up to [`Settings::max_poll_interval`].
 const MIN_BACKOFF: Span = Span(200_000);
-/// All balancers poll one service, which is kept busy by polls that it then gives up: they spread one poll each over this
-/// much for each balancer.
+/// All balancers poll one service, which is kept busy even by polls that it later abandons. They therefore spread one
+/// poll each over a time that grows by this for each balancer.
 const POLL_SPREAD_PER_BALANCER: Span = Span(40_000);
-/// The operators' standing page: a balancer has the list again this long after discovery can be reached.
+/// The operators require that a balancer has the list again within this time after discovery becomes reachable.
 const MAX_RECOVERY_TIME: Span = Span(6_000_000);
-/// How long a poll takes at most.
+/// The longest time that a poll takes.
 const MAX_POLL_DURATION: Span = Span(1_000_000);
-/// A backoff is spread over half of it to one and a half of it.
+/// A backoff is multiplied by a random factor from this one to 1 more: by 0.5 to 1.5.
 const MIN_JITTER_FACTOR: f64 = 0.5;
-/// The longest backoff after a failed poll, before the jitter: with it, and a poll, the recovery time is kept.
+/// The longest backoff after a failed poll, before the jitter. Even with the largest jitter factor and the longest poll
+/// after it, the list is available again within [`MAX_RECOVERY_TIME`].
 const MAX_BACKOFF: Span = Span((MAX_RECOVERY_TIME.0 - MAX_POLL_DURATION.0) * 2 / 3);
 
-/// The polls of the endpoint list.
+/// Schedules the polls of the endpoint list.
 pub(crate) struct Polling {
     discovery: Discovery,
     max_interval: Span,
@@ -26,7 +27,7 @@
 }
 
 impl Polling {
-    /// No poll is due.
+    /// Creates a schedule without a poll.
     pub(crate) fn new(settings: &Settings) -> Self {
         let mut polling = Polling {
             discovery: settings.discovery,
@@ -39,16 +40,17 @@
         polling
     }
 
-    /// The time over which all balancers together spread one poll each. A list that is pushed lies beside the balancer:
-    /// to poll it costs nobody anything.
+    /// The first backoff after a success, over which all balancers together spread one poll each. A pushed list is
+    /// local to the balancer and costs nothing to poll, so it has the minimum backoff.
     fn initial_backoff(&self) -> Span {
         let pollers = if self.discovery == Discovery::Pushed { 0 } else { self.balancers };
         let spread = POLL_SPREAD_PER_BALANCER * f64::from(pollers);
         spread.min(self.max_interval * 0.5).max(MIN_BACKOFF)
     }
 
-    /// Takes in that the balancer has started; true if the list is to be polled at once. Most balancers start together,
-    /// at the beginning of a day or after a release that ended them.
+    /// Records that the balancer has started; true if the list is to be polled at once. Most balancers start at the
+    /// same time, at the beginning of a day or after a release that stopped them, so many balancers spread their first
+    /// polls.
     pub(crate) fn start(&mut self, now: Time, rng: &mut fastrand::Rng) -> bool {
         if self.discovery != Discovery::Polled {
             return false;
@@ -61,13 +63,13 @@
         false
     }
 
-    /// Takes in that a poll or the watch has failed.
+    /// Schedules the next poll after a poll or the watch has failed.
     pub(crate) fn record_failure(&mut self, now: Time, rng: &mut fastrand::Rng) {
         let growth_factor = if self.discovery == Discovery::Pushed { 1.0 } else { 2.0 };
         self.back_off(now, self.max_interval.min(MAX_BACKOFF), growth_factor, rng);
     }
 
-    /// Takes in that a poll had a response that cannot be used; an immediate retry would get the same.
+    /// Schedules the next poll after a response that cannot be used. An immediate retry would get the same response.
     pub(crate) fn record_unusable(&mut self, now: Time, rng: &mut fastrand::Rng) {
         self.back_off(now, self.max_interval, 2.0, rng);
     }
@@ -78,12 +80,12 @@
         self.backoff = (self.backoff * growth_factor).min(max);
     }
 
-    /// Takes in a usable list.
+    /// Resets the backoff after a usable list.
     pub(crate) fn record_success(&mut self) {
         self.backoff = self.initial_backoff();
     }
 
-    /// Whether a poll is due; it counts as made then.
+    /// Whether a poll is due. A poll that is due is removed from the schedule.
     pub(crate) fn take_due(&mut self, now: Time) -> bool {
         let is_due = self.poll_at.is_some_and(|at| now >= at);
         if is_due {
--- a/src/endpoints/tests.rs
+++ b/src/endpoints/tests.rs
@@ -2,22 +2,25 @@
 use crate::Discovery;
 
 impl Endpoints {
-    /// The slots that a server has.
+    /// The slots that are in use, in ascending order.
     pub(crate) fn used_slots(&self) -> impl Iterator<Item = usize> + '_ {
         let used: BTreeSet<usize> = self.slots.values().copied().collect();
         used.into_iter()
     }
 
-    /// Asserts that what is kept by increments is what a walk over all servers finds.
+    /// Asserts that the incrementally updated indexes equal those recomputed from all servers.
     pub(crate) fn assert_consistent(&self) {
         let used: BTreeSet<usize> = self.used_slots().collect();
-        assert_eq!(used.len(), self.slots.len(), "two names share a slot");
+        assert_eq!(used.len(), self.slots.len(), "two servers share a slot");
         let is_own_slot = |(id, slot): (&ServerId, &usize)| self.servers[*slot].endpoint.server == *id;
-        assert!(self.slots.iter().all(is_own_slot), "a slot is another server's");
+        assert!(self.slots.iter().all(is_own_slot), "a slot holds another server");
         let free: BTreeSet<usize> = self.free_slots.iter().copied().collect();
         assert_eq!(free.len(), self.free_slots.len(), "a slot is free twice");
         let all = free.len() + used.len();
-        assert!(free.is_disjoint(&used) && all == self.servers.len(), "slots are lost");
+        assert!(
+            free.is_disjoint(&used) && all == self.servers.len(),
+            "a slot is both free and used, or neither"
+        );
 
         let endpoint = |slot: usize| &self.servers[slot].endpoint;
         let slots_where = |predicate: &dyn Fn(usize) -> bool| {
@@ -51,7 +54,7 @@
         assert_eq!(sorted(&removed), slots_where(&is_removed), "removed");
         let has_disabled = !slots_where(&is_disabled).is_empty();
         assert_eq!(self.are_all_disabled, self.open().is_empty() && has_disabled, "all disabled");
-        assert!(self.max_open_seen >= self.open().len(), "the most open servers");
+        assert!(self.max_open_seen >= self.open().len(), "max_open_seen is too low");
     }
 }
 
@@ -80,7 +83,7 @@
 }
 
 #[test]
-fn a_complete_list_removes_what_it_does_not_name_and_a_change_does_not() {
+fn a_complete_list_removes_servers_without_an_entry_and_a_change_does_not() {
     let mut endpoints = three_servers();
     update(&mut endpoints, NOW, vec![Endpoint::serving(ServerId(7))], false);
     assert_eq!(endpoints.open().len(), 4);
@@ -89,7 +92,7 @@
 }
 
 #[test]
-fn a_cordon_outlives_any_endpoint_list() {
+fn a_cordon_persists_across_endpoint_lists() {
     let mut endpoints = three_servers();
     assert!(endpoints.cordon(ServerId(1)) && !endpoints.cordon(ServerId(1)));
     endpoints.reindex(1);
@@ -103,7 +106,7 @@
 }
 
 #[test]
-fn an_evacuated_zone_is_closed_to_servers_that_are_listed_later_too() {
+fn servers_listed_later_in_an_evacuated_zone_are_not_open() {
     let mut endpoints = three_servers();
     endpoints.evacuate(ZoneId(5));
     update(&mut endpoints, NOW, vec![Endpoint { zone: ZoneId(5), ..Endpoint::serving(ServerId(7)) }], false);
@@ -111,14 +114,14 @@
 }
 
 #[test]
-fn traffic_is_sparse_while_there_never_were_as_many_servers_as_balancers() {
+fn traffic_is_sparse_until_as_many_servers_as_balancers_were_open() {
     let mut endpoints = Endpoints::new(&Settings { balancers: 2, ..Settings::default() });
     update(&mut endpoints, NOW, vec![Endpoint::serving(ServerId(0))], true);
     assert!(endpoints.is_sparse());
     update(&mut endpoints, NOW, vec![Endpoint::serving(ServerId(1))], false);
     assert!(!endpoints.is_sparse());
     update(&mut endpoints, NOW, vec![], true);
-    assert!(!endpoints.is_sparse(), "a fleet that shrinks makes no traffic sparse");
+    assert!(!endpoints.is_sparse(), "traffic becomes sparse when the fleet shrinks");
 }
 
 #[test]
@@ -136,7 +139,7 @@
 }
 
 #[test]
-fn draws_are_from_the_own_zone_the_own_region_or_what_a_retry_is_limited_to() {
+fn candidates_are_drawn_from_the_own_zone_the_own_region_or_the_retry_scope() {
     let mut endpoints = three_servers();
     let changed = endpoints.set_regions([(ZoneId(0), 1), (ZoneId(1), 1), (ZoneId(2), 2)].into());
     assert_eq!(changed, [ZoneId(1)]);
@@ -159,15 +162,18 @@
     let mut many = polled(200);
     assert!(!many.start(NOW, &mut rng));
     assert!(!many.take_due(NOW) && many.take_due(NOW + Span(5_000_000)));
-    assert!(!many.take_due(NOW + Span(9_000_000)), "a poll is made once");
+    assert!(!many.take_due(NOW + Span(9_000_000)), "one poll is due twice");
 }
 
 #[test]
-fn the_backoff_doubles_up_to_what_lets_the_list_be_recovered_in_time_and_a_success_ends_it() {
+fn the_backoff_doubles_up_to_a_limit_and_a_success_resets_it() {
     let (mut polling, mut rng) = (polled(5), fastrand::Rng::with_seed(1));
     let mut longest_wait = |polling: &mut Polling| {
         polling.record_failure(NOW, &mut rng);
-        (0..200).map(|i| Span(i * 50_000)).find(|wait| polling.take_due(NOW + *wait)).expect("it is due")
+        (0..200)
+            .map(|i| Span(i * 50_000))
+            .find(|wait| polling.take_due(NOW + *wait))
+            .expect("no poll is due within 10 s")
     };
     assert!(longest_wait(&mut polling) <= Span(300_000));
     for _ in 0..20 {
--- a/src/selection/weights.rs
+++ b/src/selection/weights.rs
@@ -62,15 +62,16 @@
     /// Own requests in flight, scaled by what the server costs: how slow it is, a priced crossing, a known key.
     fn load_key(&self, fleet: &Fleet, slot: usize, request: &SelectionRequest, random: f64) -> LoadKey {
         let server = fleet.server(slot);
-        let distance_factor = self.distance_factor(fleet, server);
+        let distance = self.distance_factor(fleet, server);
         let affinity_factor = if request.affinity_server == Some(slot) { AFFINITY_FACTOR } else { 1.0 };
         // An ejected server that was drawn for its probation goes first: by its own record it would never be tried.
         let requests = match server.health.is_ejected() {
             true => 0.0,
             false => f64::from(server.connections.in_flight()) + 1.0,
         };
-        let slowdown = (server.latency.slowdown() * affinity_factor).powf(0.5 * request.slowdown_weight);
-        let load = (requests * distance_factor * slowdown).ln();
+        let slowdown_factor =
+            (server.latency.slowdown() * affinity_factor).powf(0.5 * request.slowdown_weight);
+        let load = (requests * distance * slowdown_factor).ln();
         let reported = server.report.requests().round() as i64;
         ((load / LOAD_LOG_RESOLUTION).round() as i64, reported, random.to_bits())
     }
--- a/src/zones/tests.rs
+++ b/src/zones/tests.rs
@@ -42,7 +42,7 @@
             rng: &mut self.rng,
         };
         let attempt = ZoneAttempt { zone, server: ServerId(server), sent_at: self.now - elapsed };
-        let end = ZoneOutcome {
+        let zone_outcome = ZoneOutcome {
             class: 0,
             outcome,
             elapsed,
@@ -50,7 +50,7 @@
             usual_ms: 10.0,
             is_warming_up: false,
         };
-        self.zones.record_outcome(&mut context, attempt, end, &mut Vec::new())
+        self.zones.record_outcome(&mut context, attempt, zone_outcome, &mut Vec::new())
     }
 
     /// Responses of the healthy zone between errors of the failing one, from so many servers.
