--- a/src/selection.rs
+++ b/src/selection.rs
@@ -1,8 +1,9 @@
-//! Which server a request is sent to: the lightest of the remembered servers and of fresh uniform draws.
+//! Selects the server for a request: the least loaded of the remembered servers and of fresh uniform draws.
 //!
-//! The remembered server is the lightest one of the last selection (Mitzenmacher, Prabhakar and Shah, "Load Balancing
-//! with Memory", FOCS 2002). Own requests in flight are the load; with sparse traffic these are nearly all alike, so
-//! reported loads and a weighted random choice decide instead.
+//! The remembered server is the least loaded one of the last selection (Mitzenmacher, Prabhakar and Shah, "Load
+//! Balancing with Memory", FOCS 2002). The load of a server is the number of this balancer's requests in flight to it.
+//! With sparse traffic these numbers are nearly all equal, so reported loads and a weighted random choice decide
+//! instead.
 
 mod load_query;
 #[cfg(test)]
@@ -18,62 +19,66 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Remembered servers and fresh draws of a selection; the paper asks for no fewer draws than remembered servers.
+/// The number of remembered servers, and of uniform draws per selection. The paper requires at least as many draws as
+/// remembered servers.
 const MAX_REMEMBERED: usize = 1;
 const DRAWS: usize = 3;
-/// Both where traffic is sparse and new connections have a price: the requests in flight are each at another server, and
-/// the next one should find a remembered server with an idle connection.
+/// Both numbers with sparse traffic where new connections have a price. The requests in flight are then each at a
+/// different server, and the next request should find a remembered server with an idle connection.
 const MAX_REMEMBERED_SPARSE: usize = 12;
-/// Further draws from the own zone, and as many from the rest of the own region where regions are known. In an overload,
-/// below this admission level, any capacity will do.
+/// Additional draws from the own zone, and as many from the rest of the own region where regions are known. There are
+/// none below this admission level, that is in an overload, when capacity in any zone is needed.
 const LOCAL_DRAWS: usize = 3;
 const MIN_LEVEL_FOR_LOCAL_DRAWS: f64 = 0.8;
-/// Servers that are drawn at most for each candidate: those that are not ready are rejected.
+/// The maximum number of draws for each wanted candidate. Drawn servers that are not ready are discarded.
 const MAX_DRAWS_PER_CANDIDATE: usize = 4;
-/// Servers that are looked at, from a random place on, if all draws fail: all of a fleet that is no larger. In a larger
-/// one where one server in fifty is ready, 199 of 200 selections find some; the others wait for the next tick.
+/// The maximum number of servers that are scanned, from a random position on, if all draws fail. Smaller fleets are
+/// scanned completely. In a larger one where one server in fifty is ready, 199 of 200 selections find a server; the
+/// other requests wait for the next tick.
 const MAX_SCANNED: usize = 256;
-/// The most affinity keys that are remembered; beyond that all are forgotten, which costs each key one run without.
+/// The maximum number of affinity keys that are remembered. Beyond it all are forgotten, which costs each key one
+/// selection without affinity.
 const MAX_AFFINITY_KEYS: usize = 10_000;
-/// Servers are asked for their load if the health checks for one selection have this price at most.
+/// Candidates are asked for their load only if the health checks for one selection together cost at most this fraction
+/// of the result of a request.
 const MAX_QUERY_PRICE: f64 = 0.01;
 
-/// What a selection must know of its request.
+/// The properties of a request that its selection depends on.
 pub(crate) struct SelectionRequest {
     pub(crate) id: RequestId,
     pub(crate) class: usize,
-    /// Where it may be sent.
+    /// The servers that it may be sent to.
     pub(crate) scope: RetryScope,
     /// Its expected work in milliseconds, on the scale of its class's cost hints.
     pub(crate) work: f64,
     /// The mean work of the requests of its class, on the same scale.
     pub(crate) mean_work: f64,
-    /// How much the slowness of a server weighs for this work.
+    /// How strongly a server's slowdown counts for a request with this much work.
     pub(crate) slowdown_weight: f64,
     pub(crate) is_idempotent: bool,
     pub(crate) key: Option<KeyId>,
-    /// The server that was sent its affinity key last.
+    /// The slot of the server to which its affinity key was last sent.
     pub(crate) affinity_server: Option<usize>,
-    /// The servers that it has been sent to already.
+    /// The slots of the servers that it has already been sent to.
     pub(crate) tried: Vec<usize>,
 }
 
-/// What selections remember.
+/// The servers that selections remember, and how candidates are drawn and compared.
 pub(crate) struct Selection {
     settings: Arc<Settings>,
-    /// The servers that were selected last, the latest first.
+    /// The slots of the most recently selected servers, the latest first.
     remembered: Vec<usize>,
     /// The server that each affinity key was last sent to.
     affinity: BTreeMap<KeyId, ServerId>,
 }
 
 impl Selection {
-    /// Nothing is remembered.
+    /// Creates a selection that remembers no servers or affinity keys.
     pub(crate) fn new(settings: Arc<Settings>) -> Self {
         Selection { settings, remembered: Vec::new(), affinity: BTreeMap::new() }
     }
 
-    /// Forgets the servers that are not to be remembered.
+    /// Forgets the remembered servers for which `is_kept` is false.
     pub(crate) fn retain(&mut self, mut is_kept: impl FnMut(usize) -> bool) {
         self.remembered.retain(|&slot| is_kept(slot));
     }
@@ -83,18 +88,17 @@
         self.remembered.contains(&slot)
     }
 
-    /// The remembered servers.
     #[cfg(test)]
     pub(crate) fn remembered(&self) -> &[usize] {
         &self.remembered
     }
 
-    /// The server that was sent an affinity key last.
+    /// The server to which an affinity key was last sent.
     pub(crate) fn affinity_server(&self, key: KeyId) -> Option<ServerId> {
         self.affinity.get(&key).copied()
     }
 
-    /// Whether connections are kept with sparse traffic, as new ones have a price.
+    /// Whether idle connections are kept although traffic is sparse, because new ones have a price.
     pub(crate) fn keeps_connections(&self, fleet: &Fleet) -> bool {
         fleet.is_sparse() && self.settings.prices.handshake > 0.0
     }
@@ -111,13 +115,14 @@
         DRAWS.max(self.max_remembered(fleet))
     }
 
-    /// The candidates of a selection at most.
+    /// The maximum number of candidates of a selection without local draws.
     fn max_candidates(&self, fleet: &Fleet) -> usize {
         self.max_remembered(fleet) + self.draws(fleet)
     }
 
-    /// Whether the candidates are asked for their load first: where own counts say little, reports come with health
-    /// checks only and say how many requests a server has, and those of one selection cost next to nothing.
+    /// Whether the candidates are asked for their load before the selection. They are if traffic is sparse, so that own
+    /// counts say little, if only health checks return load reports and these include the number of requests, and if
+    /// the health checks for one selection cost nearly nothing.
     pub(crate) fn queries_load(&self, fleet: &Fleet) -> bool {
         let price = self.settings.prices.probe * self.max_candidates(fleet) as f64;
         self.settings.probes
@@ -127,10 +132,11 @@
             && fleet.is_sparse()
     }
 
-    /// The candidates for a request: fresh uniform draws from the servers that are ready for it, and the remembered ones
-    /// that are. Where crossing zones has a price, as many draws are from the own zone, which three draws often miss;
-    /// which candidate is lightest does not depend on where it was drawn. Only if all draws fail are all servers looked
-    /// at, and those that were tried before come last.
+    /// The candidates for a request: uniform draws from the servers that are ready for it, and those of the remembered
+    /// servers that are ready. Where crossing zones has a price or regions are known, as many draws are also made from
+    /// the own zone, which three uniform draws often miss; how a candidate was drawn does not affect its load. Only if
+    /// no candidate is found are the servers scanned, and then servers that were already tried are used if no other is
+    /// ready.
     pub(crate) fn candidates(
         &self,
         now: Time,
@@ -186,9 +192,10 @@
             && self.passes_draw(now, fleet, slot, request, rng)
     }
 
-    /// Whether a ready server stays a candidate. One of a zone that is not wholly in use does as often as the zone's share
-    /// says. With sparse traffic slow start limits how often one does that is warming up. Where an idle server wins the
-    /// selection, a candidate stays once for all those that it wins over.
+    /// Whether a ready server that was drawn becomes a candidate. In a zone whose share is below 1, a random part of
+    /// them does, so that the zone has that share of its draws. With sparse traffic, slow start also limits how often a
+    /// server that is warming up becomes one. Such servers are mostly idle and win the selection, so the probability is
+    /// reduced by the number of candidates that they win over.
     fn passes_draw(
         &self,
         now: Time,
@@ -209,7 +216,7 @@
         !is_sparse || fleet.slow_start.passes_draw(factor, competitors, rng)
     }
 
-    /// Candidates from all servers, if no draw has found one.
+    /// Candidates from a scan of the servers, for when no draw has found one.
     fn scan(
         &self,
         now: Time,
@@ -231,7 +238,7 @@
         (0..self.draws(fleet).min(ready.len())).map(|_| ready[rng.usize(0..ready.len())]).collect()
     }
 
-    /// The candidate with the least load, which is remembered; none without candidates.
+    /// Selects the least loaded candidate and remembers it. `None` if there are no candidates.
     pub(crate) fn select(
         &mut self,
         now: Time,
--- a/src/selection/load_query.rs
+++ b/src/selection/load_query.rs
@@ -1,4 +1,4 @@
-//! Selections that wait until their candidates have reported their load.
+//! Selections that wait for load reports from their candidates.
 
 use crate::endpoints::Endpoints;
 use crate::{RequestId, Time};
@@ -9,7 +9,7 @@
     pub(crate) request: RequestId,
     pub(crate) candidates: Vec<usize>,
     pub(crate) asked_at: Time,
-    /// When the selection is made whatever has been reported.
+    /// When the selection is made even if reports are missing.
     pub(crate) until: Time,
 }
 
@@ -24,19 +24,19 @@
     }
 }
 
-/// All selections that wait.
+/// All selections that wait for load reports.
 #[derive(Default)]
 pub(crate) struct LoadQueries {
     queries: Vec<LoadQuery>,
 }
 
 impl LoadQueries {
-    /// Adds a selection whose candidates have been asked.
+    /// Adds a selection whose candidates have been asked for their load.
     pub(crate) fn push(&mut self, query: LoadQuery) {
         self.queries.push(query);
     }
 
-    /// Removes the selections that can be made now.
+    /// Removes and returns the selections that can be made now.
     pub(crate) fn take_done(&mut self, now: Time, endpoints: &Endpoints) -> Vec<LoadQuery> {
         let queries = std::mem::take(&mut self.queries);
         let (done, waiting) = queries.into_iter().partition(|query| query.is_done(now, endpoints));
@@ -44,7 +44,7 @@
         done
     }
 
-    /// Whether a server is a candidate of a selection that waits.
+    /// Whether a server is a candidate of a waiting selection.
     pub(crate) fn has_candidate(&self, slot: usize) -> bool {
         self.queries.iter().any(|query| query.candidates.contains(&slot))
     }
--- a/src/selection/tests.rs
+++ b/src/selection/tests.rs
@@ -10,7 +10,7 @@
 }
 
 impl Fixture {
-    /// So many servers, every other one in zone 1.
+    /// A fleet of `servers` servers, alternately in zones 0 and 1.
     fn new(servers: u32, settings: Settings) -> Self {
         let settings = Arc::new(settings);
         let mut fleet = Fleet::new(Arc::clone(&settings));
@@ -28,7 +28,7 @@
         self.selection.select(NOW, &self.fleet, candidates, request, &mut self.rng)
     }
 
-    /// Gives a server attempts in flight.
+    /// Adds attempts in flight to a server.
     fn load(&mut self, slot: usize, attempts: u32) {
         for _ in 0..attempts {
             self.fleet.record_send(NOW, slot, 1.0, false);
@@ -58,7 +58,7 @@
     assert_eq!(fixture.select(&[0, 1, 2, 3], &request()), Some(2));
     assert_eq!(fixture.selection.remembered(), [2]);
     assert_eq!(fixture.select(&[], &request()), None);
-    assert!(fixture.candidates(&request()).contains(&2), "the remembered server is a candidate");
+    assert!(fixture.candidates(&request()).contains(&2), "the remembered server is not a candidate");
 }
 
 #[test]
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn no_candidate_lies_outside_of_what_a_retry_is_limited_to() {
+fn all_candidates_are_within_the_retry_scope() {
     let mut fixture = Fixture::new(8, Settings::default());
     let limited = SelectionRequest { scope: RetryScope::Zone(ZoneId(1)), ..request() };
     for _ in 0..20 {
@@ -93,12 +93,12 @@
 }
 
 #[test]
-fn a_server_of_the_own_zone_is_lighter_where_crossing_has_a_price() {
+fn a_server_in_the_own_zone_has_less_load_where_crossing_zones_has_a_price() {
     let prices = crate::Prices { cross_zone: 0.05, ..crate::Prices::default() };
     let mut fixture = Fixture::new(2, Settings { prices, ..Settings::default() });
     assert!((0..20).all(|_| fixture.select(&[0, 1], &request()) == Some(0)));
     fixture.load(0, 2);
-    assert!((0..20).all(|_| fixture.select(&[0, 1], &request()) == Some(1)), "the price alone fills no zone");
+    assert!((0..20).all(|_| fixture.select(&[0, 1], &request()) == Some(1)), "the price alone filled a zone");
 }
 
 #[test]
--- a/src/selection/weights.rs
+++ b/src/selection/weights.rs
@@ -1,40 +1,45 @@
-//! What a candidate weighs: its load, and what a server can take next to others.
+//! How candidates are compared: by their load and, with sparse traffic, by the relative capacity of servers.
 
 use super::{Selection, SelectionRequest};
 use crate::fleet::Fleet;
 use crate::server::Server;
 use crate::{Time, Weights};
 
-/// With sparse traffic a server with an idle connection counts for this much more for each 1% of a request that a new
-/// connection is priced at, and one of the own zone for each 1% that crossing zones is priced at.
+/// With sparse traffic, the weight of a server grows by this fraction for each 1% of a request that a new connection is
+/// priced at if the server has an idle connection, and for each 1% that crossing zones is priced at if it is in the own
+/// zone.
 const IDLE_CONNECTION_PREFERENCE_PER_PERCENT: f64 = 0.5;
 const OWN_ZONE_PREFERENCE_PER_PERCENT: f64 = 0.2;
-/// A server in another zone weighs this much more for each 1% of a request that crossing is priced at; never as much as
-/// one request more at an idle server, so that the price alone does not fill a zone.
+/// The load of a server in another zone grows by this fraction for each 1% of a request that crossing zones is priced
+/// at. The maximum factor is less than that of one more request at an idle server (2), so that the price alone does not
+/// fill a zone.
 const OTHER_ZONE_LOAD_PER_PERCENT: f64 = 0.25;
 const MAX_OTHER_ZONE_FACTOR: f64 = 1.8;
-/// And one in another region, where regions are known, by this factor more.
+/// The load of a server in another region, where regions are known, is multiplied by this as well.
 const OTHER_REGION_FACTOR: f64 = 1.2;
-/// The last server of an affinity key weighs this much: it wins unless it has clearly more requests.
+/// The slowdown of the last server of an affinity key is multiplied by this, so that it is selected unless it has
+/// clearly more requests.
 const AFFINITY_FACTOR: f64 = 0.7;
-/// Loads that differ by less than this (as a logarithm) are alike: a quarter is well within chance.
+/// Natural logarithms of loads are rounded to multiples of this before loads are compared: a difference of a quarter is
+/// well within chance.
 const LOAD_LOG_RESOLUTION: f64 = 0.25;
-/// The least capacity of a server that is warming up that counts.
+/// The minimum slow-start factor that the requests of a server are divided by.
 const MIN_SLOW_START_FACTOR: f64 = 0.01;
-/// The least latency, as a fraction of the objective, that counts.
+/// The minimum latency, as a fraction of the latency objective, that the weight of a server is computed with.
 const MIN_LATENCY_FRACTION: f64 = 0.01;
-/// The latency counts in its cube: plainly counted, slow machines time out while fast ones are idle.
+/// The weight of a server falls with the cube of its latency. With an exponent of 1, slow machines time out while fast
+/// ones are idle.
 const LATENCY_EXPONENT: i32 = 3;
-/// Prices are fractions of a request's result; preferences go by percents of it.
+/// Converts prices, which are fractions of the result of a request, to percent.
 const PERCENT: f64 = 100.0;
 
-/// What candidates are compared by: the load, then the reported load, then a random number.
+/// The order of candidates: by load, then by reported load, then by a random number.
 type LoadKey = (i64, i64, u64);
 
 impl Selection {
-    /// The candidate with the least load, none without candidates. A random number for each decides between those that
-    /// are alike; with sparse traffic it is weighted, so that the choices of all balancers together settle in proportion
-    /// to what the servers can take.
+    /// The slot of the candidate with the least load; `None` without candidates. Ties are broken by a random number for
+    /// each candidate. With sparse traffic this number is weighted, so that the selections of all balancers together
+    /// are distributed in proportion to the capacity of the servers.
     pub(super) fn least_loaded(
         &self,
         now: Time,
@@ -59,12 +64,14 @@
         least_loaded.map(|(_, slot)| slot)
     }
 
-    /// Own requests in flight, scaled by what the server costs: how slow it is, a priced crossing, a known key.
+    /// The own requests in flight, including this one, scaled by the price of crossing zones and by the server's
+    /// slowdown, which counts less for the last server of the affinity key.
     fn load_key(&self, fleet: &Fleet, slot: usize, request: &SelectionRequest, random: f64) -> LoadKey {
         let server = fleet.server(slot);
         let distance = self.distance_factor(fleet, server);
         let affinity_factor = if request.affinity_server == Some(slot) { AFFINITY_FACTOR } else { 1.0 };
-        // An ejected server that was drawn for its probation goes first: by its own record it would never be tried.
+        // An ejected server that was drawn for a probation request comes first: by its own record it would never be
+        // tried.
         let requests = match server.health.is_ejected() {
             true => 0.0,
             false => f64::from(server.connections.in_flight()) + 1.0,
@@ -87,8 +94,8 @@
         }
     }
 
-    /// The own requests as they count next to the server's capacity, and a random number weighted by what the server can
-    /// take (an exponential race: Efraimidis and Spirakis, "Weighted random sampling with a reservoir", 2006).
+    /// The own requests in flight relative to the server's capacity, and a random number weighted by that capacity (an
+    /// exponential race: Efraimidis and Spirakis, "Weighted random sampling with a reservoir", 2006).
     fn sparse_load_key(
         &self,
         now: Time,
@@ -105,8 +112,9 @@
         (requests.round() as i64, reported, race_time.to_bits())
     }
 
-    /// What a server can take next to others: its listed size over the requests that it has by its report, and over its
-    /// expected latency.
+    /// The relative capacity of a server: its listed size, divided by the requests that it has according to its report
+    /// and by the cube of its expected latency. Suspected servers weigh less, and those with an idle connection or in
+    /// the own zone more.
     fn weight(&self, now: Time, fleet: &Fleet, server: &Server) -> f64 {
         let listed_weight = if self.settings.weights == Weights::Size { server.endpoint.weight } else { 1.0 };
         let size = if listed_weight.is_finite() && listed_weight > 0.0 { listed_weight } else { 1.0 };
@@ -126,9 +134,10 @@
     }
 }
 
-/// The own requests in flight at a server with this slow-start factor, as they count next to those at other servers. One
-/// request counts as one anywhere, as slow start limits how often such a server is drawn; those beyond it count over the
-/// capacity that the server has for certain, or many own requests would fill servers that are warming up like any other.
+/// The own requests in flight to a server with this slow-start factor, comparable with those to other servers. The
+/// first request counts as one at any server, since slow start limits how often a server that is warming up is drawn.
+/// Further ones are divided by `factor`, the fraction of its capacity that the server is certain to have; otherwise
+/// many own requests would fill a server that is warming up like any other.
 fn effective_requests(in_flight: u32, factor: f64) -> f64 {
     let requests = f64::from(in_flight);
     let beyond_first = (requests - 1.0).max(0.0);
