--- a/src/outliers.rs
+++ b/src/outliers.rs
@@ -1,10 +1,12 @@
-//! Outlier detection: failures, unresponsive servers, ejection, probation and gossip about them.
+//! Outlier detection: failures, unresponsive servers, ejection, probation, and gossip about outliers.
 //!
-//! A server that fails more often than chance explains, that is slow next to the others or that does not respond is
-//! ejected: it is sent nothing but one probation request at a time, at growing intervals, until one succeeds.
+//! A server is ejected if it fails more often than chance explains, is slow compared with the other servers, or does
+//! not respond. An ejected server is sent only one probation request at a time, at increasing intervals, until one
+//! succeeds.
 //!
-//! With sparse traffic a server is met too seldom for that, and the probation requests of all balancers together would
-//! be a load of their own. There a server is suspected for a while instead: it keeps a small part of its share.
+//! With sparse traffic a balancer sends too few requests to each server for that, and the probation requests of all
+//! balancers together would be a considerable load. A server is then suspected for a limited time instead of ejected:
+//! it keeps a small part of its share of the requests.
 
 mod gossip;
 #[cfg(test)]
@@ -17,43 +19,44 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Failures in a row eject a server if chance brings as many no more often than this, at the fleet's failure rate ...
+/// Consecutive failures make a server an outlier if that many would occur by chance with at most this probability,
+/// given the failure rate of the fleet ...
 const MAX_CHANCE_PROBABILITY: f64 = 0.002;
-/// ... and if they are this many.
+/// ... and if there are at least this many.
 const MIN_FAILURES: f64 = 2.0;
-/// The range of the fleet's failure rate in that calculation.
+/// The range to which the failure rate of the fleet is limited in that calculation.
 const MIN_FAILURE_RATE: f64 = 1e-6;
 const MAX_FAILURE_RATE: f64 = 0.6;
-/// The weight of a new outcome in the fleet's failure rate.
+/// The gain of the moving average that is the failure rate of the fleet.
 const FAILURE_RATE_GAIN: f64 = 0.02;
-/// What a successful response leaves of the count of aborted ones. It ends a row of failures, but a server that aborts
-/// every response begins each of them well.
+/// The factor by which a successful response reduces the count of aborted ones. A success ends a series of failures,
+/// but a server that aborts every response starts each of them successfully, so the count is not reset.
 const ABORTED_DECAY_FACTOR: f64 = 0.75;
-/// An attempt is overdue at this multiple of the expected latency ...
+/// An attempt is overdue after this multiple of the expected latency ...
 const OVERDUE_FACTOR: f64 = 4.0;
-/// ... and after this fraction of the latency objective, or all of it if the attempt is alone on its server, where it
-/// may well be a costly request.
+/// ... but not before this fraction of the latency objective, or the whole objective if it is the only attempt at its
+/// server, as it may well be a costly request.
 const MIN_OVERDUE_FRACTION: f64 = 0.6;
 const MIN_OVERDUE_FRACTION_ALONE: f64 = 1.0;
-/// The largest fraction of the open servers that is ejected; if more of them fail, the cause lies elsewhere.
+/// The maximum fraction of the open servers that are ejected. If more of them fail, the cause is elsewhere.
 const MAX_EJECTED_SHARE: f64 = 0.75;
-/// The first and the longest interval between two probation requests to a server.
+/// The first and the longest interval between probation requests to a server.
 const FIRST_PROBATION_INTERVAL: Span = Span(250_000);
 const MAX_PROBATION_INTERVAL: Span = Span(4_000_000);
-/// How many further intervals a probation request waits for an idempotent request before any other is taken.
+/// The number of additional intervals after which a request that is not idempotent may be the probation request.
 const NON_IDEMPOTENT_EXTRA_INTERVALS: f64 = 2.0;
-/// How long a server is suspected after own evidence, and after gossip.
+/// How long a server is suspected after failures that this balancer observed, and after gossip.
 const SUSPICION_TIME: Span = Span(8_000_000);
 const GOSSIP_SUSPICION_TIME: Span = Span(5_000_000);
-/// The part of its share that a suspected server keeps.
+/// The fraction of its weight that a suspected server keeps.
 const SUSPECTED_WEIGHT: f64 = 0.05;
 
 /// Why a server is an outlier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum OutlierReason {
-    /// Its requests fail.
+    /// Its requests fail, or it is late with sparse traffic.
     Failing,
-    /// It is slow next to the others.
+    /// It is slow compared with the other servers.
     Slow,
     /// It does not respond to requests.
     Unresponsive,
@@ -77,22 +80,22 @@
 pub(crate) enum ProbationResult {
     Passed,
     Failed,
-    /// It did not reach the server.
+    /// The request did not reach the server.
     NotSent,
 }
 
-/// The ejection of a server. It is kept apart from the server's record, as few servers have one.
+/// The state of an ejected server. It is allocated separately because few servers have it.
 struct Ejection {
     next_probation_at: Time,
     probation_interval: Span,
     is_on_probation: bool,
 }
 
-/// The failures of one server, and what has followed from them.
+/// The recent failures of one server, and its ejection or suspicion.
 pub(crate) struct ServerHealth {
-    /// Failures in a row.
+    /// The number of failures since the last success.
     consecutive_failures: u32,
-    /// The recent responses that were aborted after a good beginning.
+    /// The number of responses that were aborted after a successful start, reduced by each success.
     recent_aborted: f64,
     last_response_at: Time,
     ejection: Option<Box<Ejection>>,
@@ -100,7 +103,7 @@
 }
 
 impl ServerHealth {
-    /// A server without failures.
+    /// The state of a server without failures.
     pub(crate) fn new(now: Time) -> Self {
         ServerHealth {
             consecutive_failures: 0,
@@ -111,27 +114,27 @@
         }
     }
 
-    /// Its process has restarted: its failures no longer count.
+    /// Clears the state after a restart of the server process, except for the time of the last response.
     pub(crate) fn restart(&mut self, now: Time) {
         *self = ServerHealth { last_response_at: self.last_response_at, ..ServerHealth::new(now) };
     }
 
-    /// When it last responded to a request in any way.
+    /// When the server last responded to a request, with success or not.
     pub(crate) fn last_response_at(&self) -> Time {
         self.last_response_at
     }
 
-    /// Whether it is ejected.
+    /// Whether the server is ejected.
     pub(crate) fn is_ejected(&self) -> bool {
         self.ejection.is_some()
     }
 
-    /// Whether it is suspected, with sparse traffic.
+    /// Whether the server is suspected, which counts only with sparse traffic.
     pub(crate) fn is_suspected(&self, now: Time) -> bool {
         now < self.suspected_until
     }
 
-    /// The part of its share that it keeps, with sparse traffic.
+    /// The factor on the server's weight with sparse traffic: below 1 if it is suspected.
     pub(crate) fn weight(&self, now: Time) -> f64 {
         if self.is_suspected(now) {
             SUSPECTED_WEIGHT
@@ -140,8 +143,9 @@
         }
     }
 
-    /// Whether its ejection leaves it a request now. An idempotent request is preferred for probation; any other is taken
-    /// once none has come for a while, or a site without idempotent requests would never take a server back.
+    /// Whether the server may be sent a request now: it is not ejected, or a probation request is due. Idempotent
+    /// requests are preferred for probation. Others are permitted when no idempotent one has arrived for some
+    /// intervals, as otherwise a site without idempotent requests would never use an ejected server again.
     pub(crate) fn permits_request(&self, now: Time, is_idempotent: bool) -> bool {
         self.ejection.as_deref().is_none_or(|ejection| {
             let extra_wait = if is_idempotent {
@@ -153,7 +157,7 @@
         })
     }
 
-    /// Takes in that it is sent a request; true if that is a probation request.
+    /// Records that the server is sent a request; true if that is a probation request.
     pub(crate) fn record_send(&mut self) -> bool {
         if let Some(ejection) = &mut self.ejection {
             ejection.is_on_probation = true;
@@ -161,7 +165,7 @@
         self.is_ejected()
     }
 
-    /// Takes in how an attempt ended. A server that rejects is full and not failing.
+    /// Records how an attempt ended. A rejection is no failure, as the server is full.
     pub(crate) fn record_outcome(&mut self, now: Time, outcome: Outcome, is_in_time: bool) {
         match outcome {
             Outcome::NotSent | Outcome::Cancelled | Outcome::TimedOut => {}
@@ -182,13 +186,13 @@
         }
     }
 
-    /// Takes in that a response was aborted after a good beginning.
+    /// Records that a response was aborted after a successful start.
     pub(crate) fn record_aborted_response(&mut self) {
         self.recent_aborted += 1.0;
     }
 
-    /// Takes in how a probation request ended: the ejection ends, or the next interval is twice as long. One that was not
-    /// sent says nothing of the server, and the next follows after the same interval.
+    /// Records how a probation request ended. Success ends the ejection, failure doubles the interval. If the request
+    /// did not reach the server, the next one follows after the same interval.
     pub(crate) fn record_probation(&mut self, now: Time, result: ProbationResult) {
         if result == ProbationResult::Passed {
             self.ejection = None;
@@ -202,7 +206,7 @@
         }
     }
 
-    /// Ejects it; its first probation request follows after the first interval.
+    /// Ejects the server. Its first probation request is due after the first interval.
     pub(crate) fn eject(&mut self, now: Time) {
         self.ejection = Some(Box::new(Ejection {
             next_probation_at: now + FIRST_PROBATION_INTERVAL,
@@ -211,34 +215,34 @@
         }));
     }
 
-    /// Takes in gossip that it is an outlier.
+    /// Records gossip that the server is an outlier.
     pub(crate) fn record_gossip(&mut self, now: Time) {
         self.suspected_until = self.suspected_until.max(now + GOSSIP_SUSPICION_TIME);
     }
 
-    /// Ends ejection and suspicion.
+    /// Ends the ejection or suspicion of the server.
     pub(crate) fn clear(&mut self, now: Time) {
         self.ejection = None;
         self.suspected_until = now;
     }
 }
 
-/// The outliers among all servers.
+/// The ejected servers, and what outlier detection knows of the fleet as a whole.
 pub(crate) struct Outliers {
-    /// The recent fraction of attempts that failed, over all servers.
+    /// The moving average of the fraction of attempts that fail, over all servers.
     failure_rate: f64,
-    /// The open servers that are ejected.
+    /// The slots of the open servers that are ejected.
     ejected: BTreeSet<usize>,
     gossip: GossipBudget,
 }
 
 impl Outliers {
-    /// No outliers yet.
+    /// Creates the state of a fleet without outliers.
     pub(crate) fn new(settings: &Settings) -> Self {
         Outliers { failure_rate: 0.0, ejected: BTreeSet::new(), gossip: GossipBudget::new(settings) }
     }
 
-    /// Updates the index after a change of a server.
+    /// Updates the set of ejected servers after a change of one server.
     pub(crate) fn index(&mut self, slot: usize, server: &ServerHealth, is_open: bool) {
         match is_open && server.is_ejected() {
             true => self.ejected.insert(slot),
@@ -246,25 +250,26 @@
         };
     }
 
-    /// The open servers that are ejected.
+    /// The slots of the open servers that are ejected.
     pub(crate) fn ejected(&self) -> &BTreeSet<usize> {
         &self.ejected
     }
 
-    /// Takes in that a request has arrived.
+    /// Records that a request has arrived, which adds to the gossip budget.
     pub(crate) fn record_request(&mut self) {
         self.gossip.earn();
     }
 
-    /// Whether a server has failed more often than chance explains. An outcome that says whether a server fails, as
-    /// `is_failure`, counts in the fleet's failure rate.
+    /// Whether a server has failed more often than chance explains. Also updates the failure rate of the fleet, unless
+    /// `is_failure` is `None`: the outcome does not show whether the server fails.
     pub(crate) fn has_failed_too_often(
         &mut self,
         server: &ServerHealth,
         is_failure: Option<bool>,
         is_sparse: bool,
     ) -> bool {
-        // The rate before this outcome, or the first few failures would hide themselves.
+        // The rate without this outcome; otherwise the first few failures would raise the threshold that they have to
+        // reach.
         let failure_rate = self.failure_rate.clamp(MIN_FAILURE_RATE, MAX_FAILURE_RATE);
         let failure_threshold = (MAX_CHANCE_PROBABILITY.ln() / failure_rate.ln()).ceil().max(MIN_FAILURES);
         if let Some(is_failure) = is_failure {
@@ -274,7 +279,7 @@
         failures >= failure_threshold || (is_sparse && failures >= 1.0)
     }
 
-    /// Ejects a server, unless it is ejected already or too many are; true if it was.
+    /// Ejects a server, unless it is already ejected or too many servers are; true if it was ejected now.
     pub(crate) fn eject(&mut self, now: Time, server: &mut ServerHealth, open_servers: usize) -> bool {
         let ejected = (self.ejected.len() + 1) as f64;
         if server.is_ejected() || ejected > MAX_EJECTED_SHARE * open_servers as f64 {
@@ -284,7 +289,8 @@
         true
     }
 
-    /// Suspects a server and lets some peers know, for each of them would otherwise lose a request to find out.
+    /// Suspects a server and sends gossip about it to some peers, each of which would otherwise lose a request to
+    /// detect the outlier itself.
     pub(crate) fn suspect(
         &mut self,
         now: Time,
@@ -298,8 +304,8 @@
     }
 }
 
-/// How long an attempt may go without a response before its server counts as unresponsive. `expected` is its expected
-/// latency as a fraction of the objective, `in_flight` the number of attempts at the server.
+/// How long an attempt may have no response before it is overdue. `expected` is its expected latency as a fraction of
+/// the latency objective, `in_flight` the number of own attempts in flight to the server, including this one.
 pub(crate) fn overdue_after(latency_objective: Span, expected: f64, in_flight: u32) -> Span {
     let min = if in_flight > 1 { MIN_OVERDUE_FRACTION } else { MIN_OVERDUE_FRACTION_ALONE };
     latency_objective * (OVERDUE_FACTOR * expected).max(min)
--- a/src/outliers/gossip.rs
+++ b/src/outliers/gossip.rs
@@ -1,28 +1,28 @@
 //! Gossip about outliers between balancers with sparse traffic.
 //!
-//! Such a balancer meets a server seldom, and would lose a request of its own to each server that fails. A message names
-//! one server. It makes the receiver suspect a server that it knows for a short while and does nothing else, so an old,
-//! lost or false message is harmless.
+//! Such a balancer sends few requests to each server, and would lose one of them to each server that fails. A message
+//! names one server. If the receiver knows that server, it suspects it for a short time. There is no other effect, so
+//! an old, lost or false message is harmless.
 
 use crate::{Action, PeerId, ServerId, Settings};
 
-/// The most peers that are sent a message about one server.
+/// The maximum number of peers that are sent a message about one server.
 const MAX_PEERS: u32 = 64;
-/// The gossip bytes that each request earns, and the most that are saved.
+/// The bytes that each request adds to the gossip budget, and the maximum budget.
 const BYTES_PER_REQUEST: f64 = 25.0;
 const MAX_BYTES: f64 = 512.0;
 
-/// A message about an outlier.
+/// Encodes a message about an outlier.
 pub(super) fn encode(server: ServerId) -> Vec<u8> {
     server.0.to_be_bytes().to_vec()
 }
 
-/// The server that a message is about; none if it is not a message about an outlier.
+/// The server that a message is about; `None` if the payload is not a message about an outlier.
 pub(crate) fn decode(payload: &[u8]) -> Option<ServerId> {
     payload.try_into().ok().map(|bytes| ServerId(u32::from_be_bytes(bytes)))
 }
 
-/// The bytes that may be sent to other balancers.
+/// Limits the bytes of gossip that are sent to other balancers.
 pub(super) struct GossipBudget {
     is_enabled: bool,
     balancers: u32,
@@ -30,12 +30,12 @@
 }
 
 impl GossipBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub(super) fn new(settings: &Settings) -> Self {
         GossipBudget { is_enabled: settings.gossip, balancers: settings.balancers, bytes: MAX_BYTES }
     }
 
-    /// A new request earns some bytes.
+    /// Adds the bytes for one request to the budget.
     pub(super) fn earn(&mut self) {
         self.bytes = (self.bytes + BYTES_PER_REQUEST).min(MAX_BYTES);
     }
