--- a/src/zones.rs
+++ b/src/zones.rs
@@ -1,11 +1,13 @@
-//! How far each zone is in use: zone health, evacuation and the recovery ramp.
+//! Zone health: moves requests away from zones that fail, are slow or do not respond, and returns them by a recovery
+//! ramp.
 //!
-//! The evidence is the balancer's own, over several servers of the zone, and is compared with the other zones in the
-//! same time, so that no zone fails where the whole fleet does.
+//! Each zone has a share, the fraction of its draws in selection that are used, as a whole and for each class. It
+//! follows from the outcomes of this balancer's own attempts at several servers of the zone, compared with the outcomes
+//! in other zones over the same time, so that no zone is considered failing if the whole fleet is.
 //!
-//! A zone that does not respond at all is left at once. One that fails or is slow for a class gives up half of its draws
-//! of that class a step. It recovers by probation requests, then with a quarter, a half and all of its draws, each after
-//! good responses at the step before.
+//! The share of a zone that does not respond at all becomes zero at once. A zone that fails or is slow for a class
+//! loses half of its share for that class per step. It recovers by probation requests, then with shares of a quarter, a
+//! half and one, each step after good outcomes in the previous one.
 
 mod evidence;
 mod health;
@@ -18,45 +20,51 @@
 use health::{ZoneHealth, ZoneUsage};
 use std::collections::BTreeMap;
 
-/// The outcomes that it takes to judge a zone.
+/// The minimum number of outcomes that a change of share or a comparison with other zones is based on.
 const MIN_SAMPLES: f64 = 8.0;
-/// The outcomes that are remembered at most.
+/// The maximum number of recent outcomes that count in the averages of a zone.
 const MAX_SAMPLES: f64 = 4.0 * MIN_SAMPLES;
-/// A zone that is left stays at its present share after so many outcomes.
+/// After this many outcomes without another reduction, a zone in the phase `Leaving` starts to recover from its current
+/// share.
 const SETTLED_SAMPLES: f64 = 2.0 * MIN_SAMPLES;
-/// A zone fails if it loses this much more than the others do, and by so many standard deviations.
+/// A zone is failing if its loss rate exceeds that of the other zones by this much, and by this many standard
+/// deviations more.
 const MIN_EXCESS_LOSS_RATE: f64 = 0.05;
 const MIN_STANDARD_DEVIATIONS: f64 = 3.0;
-/// The loss of the others is taken to be this at most.
+/// The maximum loss rate that the loss rate of a zone is compared with.
 const MAX_EXPECTED_LOSS_RATE: f64 = 0.9;
-/// A zone is slow at this multiple of the others, each server against its own usual latency.
+/// A zone is slow if its slowdown is this multiple of that of the other zones. The slowdown is the latency relative to
+/// the usual latency of each server.
 const SLOW_FACTOR: f64 = 3.0;
-/// The highest latency that counts, relative to the usual one.
+/// The maximum slowdown that a single response counts with.
 const MAX_SLOWDOWN: f64 = 2.0 * SLOW_FACTOR;
-/// The share of its draws with which a zone starts its recovery.
+/// The share with which a zone starts its recovery.
 const FIRST_RECOVERY_SHARE: f64 = 0.25;
-/// The good responses before the share is doubled: of the zone as a whole, with sparse traffic, and for one class, where
-/// most responses are good all the time.
-const GOOD_RESPONSES_PER_STEP: u32 = 2;
-const GOOD_RESPONSES_PER_STEP_SPARSE: u32 = 1;
-const GOOD_RESPONSES_PER_STEP_OF_CLASS: u32 = 6;
-/// The bad responses that end a recovery.
-const BAD_RESPONSES_TO_RELAPSE: u32 = 2;
-/// The first and the longest interval between two probation requests.
+/// The number of good outcomes before the share is doubled: of the zone as a whole, the same with sparse traffic, and
+/// for one class, where most outcomes are good at any time.
+const GOOD_OUTCOMES_PER_STEP: u32 = 2;
+const GOOD_OUTCOMES_PER_STEP_SPARSE: u32 = 1;
+const GOOD_OUTCOMES_PER_STEP_OF_CLASS: u32 = 6;
+/// The number of bad outcomes that end a recovery.
+const BAD_OUTCOMES_TO_RELAPSE: u32 = 2;
+/// The first and the longest interval between probation requests to a zone.
 const FIRST_PROBATION_INTERVAL: Span = Span(250_000);
 const MAX_PROBATION_INTERVAL: Span = Span(8_000_000);
-/// A zone that responds within this many first intervals had not been away.
+/// If a zone as a whole responds well within this many first intervals after its share became zero, that was a false
+/// alarm.
 const FALSE_ALARM_INTERVALS: f64 = 2.0;
-/// The relapses that lengthen the interval at most.
+/// The maximum number of relapses that lengthen the probation interval.
 const MAX_RELAPSES: u32 = 4;
-/// A zone relapses if it is left again within this many intervals.
+/// It is a relapse if the share of a zone becomes zero again within this many probation intervals after its last
+/// change.
 const RELAPSE_INTERVALS: f64 = 8.0;
-/// The requests that a server handles at once at least: two cores, and half of a response's time is waiting.
+/// The minimum number of requests that a server handles concurrently: it has at least two cores, and half of the
+/// response time is waiting.
 const MIN_CONCURRENT_REQUESTS_PER_SERVER: f64 = 4.0;
-/// The least fraction of its capacity at which a starting server is taken to work.
+/// The minimum for the fraction of its capacity that a server is assumed to have when it starts.
 const MIN_INITIAL_CAPACITY: f64 = 0.01;
 
-/// What one outcome says of a zone.
+/// Whether one outcome counts for or against its zone.
 #[derive(Debug, Clone, Copy)]
 struct OutcomeAssessment {
     is_good: bool,
@@ -64,20 +72,20 @@
     sent_at: Time,
 }
 
-/// All zones that have responded, or have failed to.
+/// The health of all zones to which attempts were sent.
 pub(crate) struct Zones {
     zones: BTreeMap<ZoneId, ZoneHealth>,
-    /// Some zone is less than wholly in use, so that its share has to be looked up.
+    /// Whether the share of any zone is below 1. Otherwise no share needs to be looked up.
     is_any_restricted: bool,
     class_count: usize,
     has_health_checks: bool,
     balancers: u32,
-    /// The requests that a starting server handles at once.
+    /// The number of requests that a server handles concurrently when it starts.
     concurrent_requests_per_starting_server: f64,
 }
 
 impl Zones {
-    /// Nothing is known of any zone.
+    /// Creates the state in which nothing is known of any zone.
     pub(crate) fn new(settings: &Settings) -> Self {
         let initial_capacity =
             (settings.initial_capacity * settings.overload_factor).max(MIN_INITIAL_CAPACITY);
@@ -91,19 +99,19 @@
         }
     }
 
-    /// The fraction of its draws that a zone is used for, for a class.
+    /// The share of a zone for a class: the fraction of its draws that are used.
     pub(crate) fn share(&self, zone: ZoneId, class: usize) -> f64 {
         let health = self.restricted_health(zone);
         health.map_or(1.0, |health| health.usages[class].share * health.usages[self.class_count].share)
     }
 
-    /// Whether the zone may be sent what no other has capacity for: one that serves some classes badly is better than
-    /// none, one that does not respond is not.
+    /// Whether a zone may be sent requests that no other zone has capacity for. A zone that serves some classes badly
+    /// may, as that is better than nothing. A zone that does not respond, or is recovering from that, may not.
     pub(crate) fn takes_overflow(&self, zone: ZoneId) -> bool {
         self.restricted_health(zone).is_none_or(|health| health.usages[self.class_count].share >= 1.0)
     }
 
-    /// How each zone is used, as a whole, and by class where that differs.
+    /// The phase and share of each zone as a whole, and for each class whose phase is not `Serving`.
     pub(crate) fn views(&self) -> Vec<ZoneView> {
         let views = self.zones.iter().flat_map(|(&zone, health)| {
             let is_shown = |(index, usage): &(usize, &ZoneUsage)| {
@@ -122,13 +130,13 @@
         views.collect()
     }
 
-    /// Forgets the zones that are not to be kept.
+    /// Forgets the zones for which `is_kept` is false.
     pub(crate) fn retain(&mut self, mut is_kept: impl FnMut(ZoneId) -> bool) {
         self.zones.retain(|zone, _| is_kept(*zone));
         self.update_is_any_restricted();
     }
 
-    /// Takes in how an attempt ended.
+    /// Records how an attempt ended, and changes the share of its zone if necessary.
     pub(crate) fn record_outcome(
         &mut self,
         context: &mut ZoneContext,
@@ -149,7 +157,8 @@
         if !is_success && !is_lost {
             return ZoneChange::None;
         }
-        // A server that is warming up is slow, and what was lost took no time that says anything.
+        // The latency says nothing of the zone if the server is warming up, which makes it slow, or if the attempt was
+        // lost.
         let slowdown = if is_success && !end.is_warming_up {
             (end.elapsed.as_ms() / end.usual_ms).min(MAX_SLOWDOWN)
         } else {
@@ -172,7 +181,7 @@
         self.update_phase(context, ZoneScope::whole_zone(attempt.zone), assessment, actions)
     }
 
-    /// Takes in that an attempt has had no response for too long; none if its zone has responded since it was sent.
+    /// Records that an attempt has had no response for too long. `None` if its zone has responded since it was sent.
     pub(crate) fn record_unanswered(
         &mut self,
         context: &mut ZoneContext,
@@ -187,7 +196,8 @@
         let unanswered = health.record_unanswered(attempt.server, attempt.sent_at);
         let phase = health.usages[class_count].phase;
         let is_in_use = matches!(phase, ZonePhase::Serving | ZonePhase::Leaving);
-        // If the whole fleet is silent, no other zone has responded to anything that was sent after both.
+        // If the whole fleet is unresponsive, no other zone has responded to an attempt that was sent after those to
+        // two servers of this one.
         let has_other_zone_responded =
             |since: Time| self.zones.iter().any(|(z, h)| *z != attempt.zone && h.last_answered_send > since);
         if is_in_use && unanswered.second_server_sent_at.is_some_and(has_other_zone_responded) {
@@ -201,7 +211,7 @@
         Some(ZoneChange::None)
     }
 
-    /// Decides what follows from one outcome.
+    /// Changes the phase and share of a zone as one outcome requires.
     fn update_phase(
         &mut self,
         context: &mut ZoneContext,
@@ -211,29 +221,29 @@
     ) -> ZoneChange {
         let now = context.now;
         let is_whole_zone = scope.class.is_none();
-        let good_responses_per_step = match (is_whole_zone, context.is_sparse) {
-            (false, _) => GOOD_RESPONSES_PER_STEP_OF_CLASS,
-            (true, true) => GOOD_RESPONSES_PER_STEP_SPARSE,
-            (true, false) => GOOD_RESPONSES_PER_STEP,
+        let good_outcomes_per_step = match (is_whole_zone, context.is_sparse) {
+            (false, _) => GOOD_OUTCOMES_PER_STEP_OF_CLASS,
+            (true, true) => GOOD_OUTCOMES_PER_STEP_SPARSE,
+            (true, false) => GOOD_OUTCOMES_PER_STEP,
         };
         let usage = self.usage_mut(scope);
         let OutcomeAssessment { is_good, is_bad, sent_at } = assessment;
-        let was_sent_in_phase = sent_at >= usage.since;
-        usage.good_responses += u32::from(is_good && was_sent_in_phase);
-        usage.bad_responses += u32::from(is_bad && was_sent_in_phase);
+        let was_sent_since_change = sent_at >= usage.since;
+        usage.good_outcomes += u32::from(is_good && was_sent_since_change);
+        usage.bad_outcomes += u32::from(is_bad && was_sent_since_change);
         let is_false_alarm =
             is_whole_zone && now.since(usage.since) <= FIRST_PROBATION_INTERVAL * FALSE_ALARM_INTERVALS;
         let (share, reason) = match usage.phase {
             ZonePhase::Away if is_good && is_false_alarm => (1.0, "not away"),
-            ZonePhase::Away if is_good && (is_whole_zone || was_sent_in_phase) => {
+            ZonePhase::Away if is_good && (is_whole_zone || was_sent_since_change) => {
                 (FIRST_RECOVERY_SHARE, "a trial went well")
             }
-            ZonePhase::Away if is_bad && was_sent_in_phase => {
+            ZonePhase::Away if is_bad && was_sent_since_change => {
                 usage.back_off(now, MAX_PROBATION_INTERVAL);
                 return ZoneChange::None;
             }
-            ZonePhase::Returning if usage.bad_responses >= BAD_RESPONSES_TO_RELAPSE => (0.0, "relapsed"),
-            ZonePhase::Returning if usage.good_responses >= good_responses_per_step => {
+            ZonePhase::Returning if usage.bad_outcomes >= BAD_OUTCOMES_TO_RELAPSE => (0.0, "relapsed"),
+            ZonePhase::Returning if usage.good_outcomes >= good_outcomes_per_step => {
                 (2.0 * usage.share, "answers well")
             }
             ZonePhase::Leaving if usage.samples >= SETTLED_SAMPLES => (usage.share, "no worse"),
@@ -256,7 +266,7 @@
         }
     }
 
-    /// What is wrong with a zone next to the others, if anything is.
+    /// Why the share of a zone is to be reduced, compared with the other zones; `None` if it is not.
     fn detect_problem(&mut self, scope: ZoneScope) -> Option<&'static str> {
         let usage = self.usage_mut(scope);
         let (samples, loss_rate, slowdown) = (usage.samples, usage.loss_rate, usage.slowdown);
@@ -272,7 +282,8 @@
         }
     }
 
-    /// The mean loss and slowdown of the other zones that are wholly in use; none if too few outcomes tell.
+    /// The mean loss rate and slowdown of the other zones in the phase `Serving`; `None` if none of them has enough
+    /// outcomes.
     fn mean_of_other_zones(&self, scope: ZoneScope) -> Option<(f64, f64)> {
         let index = self.usage_index(scope);
         let others = self.zones.iter().filter(|(zone, _)| **zone != scope.zone);
@@ -286,7 +297,7 @@
         (!others.is_empty()).then(|| (mean(|usage| usage.loss_rate), mean(|usage| usage.slowdown)))
     }
 
-    /// Changes how far a zone is in use.
+    /// Sets the share of a zone and the phase that follows from it, and starts to gather evidence anew.
     fn set_share(
         &mut self,
         context: &mut ZoneContext,
@@ -318,7 +329,7 @@
             probation_interval,
             has_passed_health_check: scope.class.is_some(),
             relapses,
-            bad_responses: if phase == usage.phase { usage.bad_responses } else { 0 },
+            bad_outcomes: if phase == usage.phase { usage.bad_outcomes } else { 0 },
             ..ZoneUsage::default()
         };
         self.update_is_any_restricted();
@@ -330,7 +341,8 @@
         actions.push(Action::Log { server: None, zone: Some(scope.zone), text });
     }
 
-    /// The probation requests of all balancers together stay within what the zone's servers take when they start.
+    /// The minimum interval between probation requests, so that those of all balancers together do not exceed the
+    /// capacity that the zone's servers have when they start.
     fn min_probation_interval(&self, context: &ZoneContext, zone: ZoneId) -> Span {
         let servers = context.open_servers.members(zone).len().max(1);
         let concurrent_requests = self.concurrent_requests_per_starting_server * servers as f64;
@@ -354,7 +366,7 @@
         &mut self.health_mut(scope.zone).usages[index]
     }
 
-    /// The health of a zone that has one, if any zone is less than wholly in use.
+    /// The health of a zone; `None` if no share is below 1 or nothing is known of the zone.
     fn restricted_health(&self, zone: ZoneId) -> Option<&ZoneHealth> {
         if self.is_any_restricted {
             self.zones.get(&zone)
--- a/src/zones/evidence.rs
+++ b/src/zones/evidence.rs
@@ -1,4 +1,4 @@
-//! What the rest of the balancer reports to the zones, and the changes that they report back.
+//! The input of [`Zones`](super::Zones) from the rest of the balancer, and the changes that it reports back.
 
 use crate::latency::Latencies;
 use crate::slot_sets::SlotGroups;
@@ -7,9 +7,8 @@
 /// A zone as a whole, or one class in it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ZoneScope {
-    /// The zone.
     pub(crate) zone: ZoneId,
-    /// The class, none for the zone as a whole.
+    /// `None` for the zone as a whole.
     pub(super) class: Option<usize>,
 }
 
@@ -20,24 +19,25 @@
     }
 }
 
-/// What the rest of the balancer has to do after a change of a zone.
+/// What the balancer has to do after an outcome was recorded for a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ZoneChange {
     /// Nothing.
     None,
-    /// The use of a zone as a whole has changed: what its servers were suspected of was the zone's.
+    /// The share or phase of a zone as a whole has changed. Ejections and suspicions of its servers are to be cleared,
+    /// as the zone was their cause.
     Changed(ZoneId),
-    /// The same, because the zone does not respond: what is in flight there is to be cancelled.
+    /// The same, because the zone does not respond. Attempts in flight there are to be cancelled as well.
     Unresponsive(ZoneId),
 }
 
-/// What a decision on a zone needs to know.
+/// The state of the balancer that decisions about zones depend on.
 pub(crate) struct ZoneContext<'a> {
     pub(crate) now: Time,
-    /// There are more balancers than servers.
+    /// Traffic is sparse: there are more balancers than servers.
     pub(crate) is_sparse: bool,
     pub(crate) latencies: &'a Latencies,
-    /// The open servers of each zone.
+    /// The slots of the open servers by zone.
     pub(crate) open_servers: &'a SlotGroups<ZoneId>,
     pub(crate) rng: &'a mut fastrand::Rng,
 }
@@ -56,9 +56,9 @@
     pub(crate) class: usize,
     pub(crate) outcome: Outcome,
     pub(crate) elapsed: Span,
-    /// It took no longer than the latency objective.
+    /// The attempt took no longer than the latency objective of its class.
     pub(crate) is_in_time: bool,
-    /// The usual latency of the server for this class.
+    /// The usual latency of the server for this class, in milliseconds.
     pub(crate) usual_ms: f64,
     /// The server is warming up.
     pub(crate) is_warming_up: bool,
--- a/src/zones/health.rs
+++ b/src/zones/health.rs
@@ -1,42 +1,45 @@
-//! The evidence on one zone: how far it is in use, and what its responses say.
+//! The health of one zone: its phase and share, and the outcomes that they are based on.
 
 use crate::{ServerId, Span, Time, ZonePhase};
 
-/// Responses that speak against a zone that are kept at most.
+/// The maximum number of recent bad outcomes whose servers are remembered.
 const MAX_BAD_OUTCOMES: usize = 12;
-/// The least of them that count as evidence against the zone.
+/// The minimum number of bad outcomes that count as evidence against a zone.
 const MIN_BAD_OUTCOMES: usize = 3;
-/// The fraction of them that one server may make up; more of them is that server's trouble.
+/// The maximum fraction of the bad outcomes at one server. If it is exceeded, the cause is that server and not the
+/// zone.
 const MAX_BAD_OUTCOME_SHARE_OF_ONE_SERVER: f64 = 0.75;
-/// Attempts without a response that are kept of a zone at most.
+/// The maximum number of unanswered attempts that are remembered per zone.
 const MAX_UNANSWERED: usize = 64;
 
-/// How far a zone is in use, as a whole or for one class, and by what evidence.
+/// The phase and share of a zone, as a whole or for one class, and the evidence gathered since they last changed.
 #[derive(Debug, Clone)]
 pub(super) struct ZoneUsage {
     pub(super) phase: ZonePhase,
-    /// The fraction of the draws of this zone that are used.
+    /// The fraction of the draws of this zone that are used, from 0 to 1.
     pub(super) share: f64,
-    /// Why it is in this phase.
+    /// Why the zone is in this phase; empty if it has always been serving.
     pub(super) reason: &'static str,
-    /// Since when. All evidence below has been gathered since then.
+    /// When the share was last set. The evidence below has been gathered since then.
     pub(super) since: Time,
-    /// When its next probation request is due, and the interval between two.
+    /// When the next probation request or health check is due, and the interval between two of them.
     pub(super) next_probation_at: Time,
     pub(super) probation_interval: Span,
-    /// It has passed a health check since it was left, and no request has been tried yet.
+    /// The zone has passed a health check since its share became zero, and no probation request has been sent since.
+    /// For a single class, whose probation needs no health check, this is set along with the share.
     pub(super) has_passed_health_check: bool,
-    /// How often it has failed again soon after its recovery.
+    /// How often the zone has failed again soon after a recovery.
     pub(super) relapses: u32,
-    /// Good responses and bad ones to what was sent since then; the bad ones since the phase began.
-    pub(super) good_responses: u32,
-    pub(super) bad_responses: u32,
-    /// The number of the last outcomes, up to a bound, the fraction of them that were lost, and their mean latency
-    /// relative to the usual one.
+    /// The numbers of good outcomes since the share was last set and of bad ones since the phase began. Attempts that
+    /// were sent before that do not count.
+    pub(super) good_outcomes: u32,
+    pub(super) bad_outcomes: u32,
+    /// The number of recent outcomes, up to a bound, the fraction of them that were failures or timeouts, and their
+    /// mean latency relative to the usual one.
     pub(super) samples: f64,
     pub(super) loss_rate: f64,
     pub(super) slowdown: f64,
-    /// The servers of the last outcomes that spoke against the zone.
+    /// The servers of the most recent bad outcomes, that is failures, timeouts and slow responses; the oldest first.
     pub(super) bad_outcome_servers: Vec<ServerId>,
 }
 
@@ -51,8 +54,8 @@
             probation_interval: Span::ZERO,
             has_passed_health_check: false,
             relapses: 0,
-            good_responses: 0,
-            bad_responses: 0,
+            good_outcomes: 0,
+            bad_outcomes: 0,
             samples: 0.0,
             loss_rate: 0.0,
             slowdown: 1.0,
@@ -62,7 +65,7 @@
 }
 
 impl ZoneUsage {
-    /// Takes in an outcome; about the last `max_samples` are remembered.
+    /// Records an outcome. The averages are over about the last `max_samples` outcomes.
     pub(super) fn record(
         &mut self,
         server: ServerId,
@@ -80,7 +83,7 @@
         }
     }
 
-    /// The phase that a share means, after the present one.
+    /// The phase that follows from setting this share after the current one.
     pub(super) fn phase_for(&self, share: f64) -> ZonePhase {
         match share {
             0.0 => ZonePhase::Away,
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Whether what speaks against the zone comes from several servers.
+    /// Whether there are enough bad outcomes, and not nearly all of them at one server.
     pub(super) fn has_bad_outcomes_at_several_servers(&self) -> bool {
         let count =
             |server: ServerId| self.bad_outcome_servers.iter().filter(|s| **s == server).count() as f64;
@@ -99,7 +102,7 @@
         all >= MIN_BAD_OUTCOMES && self.bad_outcome_servers.iter().all(|server| count(*server) <= max_count)
     }
 
-    /// Doubles the interval between probation requests after one that failed.
+    /// Doubles the interval between probation requests, up to `max_interval`, after one that failed.
     pub(super) fn back_off(&mut self, now: Time, max_interval: Span) {
         self.probation_interval =
             (self.probation_interval * 2.0).min(max_interval.max(self.probation_interval));
@@ -107,35 +110,36 @@
     }
 }
 
-/// An attempt that has had no response for too long.
+/// An attempt that could not connect, timed out or has had no response for too long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Unanswered {
     server: ServerId,
     sent_at: Time,
 }
 
-/// What is known of one zone.
+/// The health of one zone, as a whole and for each class.
 pub(super) struct ZoneHealth {
-    /// When it last responded.
+    /// When an attempt in the zone last ended with a response.
     pub(super) last_response_at: Time,
-    /// When the latest of the attempts that it has responded to was sent.
+    /// When the most recently sent of the attempts that the zone responded to was sent.
     pub(super) last_answered_send: Time,
-    /// Attempts since the last response that have had none for too long, by when they were sent.
+    /// The unanswered attempts since the last response, ordered by the time they were sent.
     unanswered: Vec<Unanswered>,
-    /// By class, and last that of the zone as a whole.
+    /// One for each class, followed by that of the zone as a whole.
     pub(super) usages: Vec<ZoneUsage>,
 }
 
-/// What another attempt without a response says of its zone.
+/// The unanswered attempts of a zone after one has been recorded.
 pub(super) struct UnansweredSummary {
-    /// The attempt was not known to be unanswered.
+    /// The attempt had not been recorded before.
     pub(super) is_new: bool,
-    /// When the first attempt was sent to a second server that owes a response.
+    /// When the first unanswered attempt was sent to a server other than the one with the earliest; `None` if they are
+    /// all at one server.
     pub(super) second_server_sent_at: Option<Time>,
 }
 
 impl ZoneHealth {
-    /// A zone that is wholly in use, with so many usages.
+    /// Creates the health of a zone whose shares are 1, with this number of usages.
     pub(super) fn new(usages: usize) -> Self {
         ZoneHealth {
             last_response_at: Time(0),
@@ -145,14 +149,14 @@
         }
     }
 
-    /// Takes in that the zone has responded to an attempt that was sent then.
+    /// Records that the zone has responded to an attempt that was sent at `sent_at`.
     pub(super) fn record_response(&mut self, now: Time, sent_at: Time) {
         self.last_response_at = now;
         self.last_answered_send = self.last_answered_send.max(sent_at);
         self.clear_unanswered();
     }
 
-    /// Takes in that a server owes a response to an attempt that was sent then.
+    /// Records that an attempt that was sent at `sent_at` is unanswered.
     pub(super) fn record_unanswered(&mut self, server: ServerId, sent_at: Time) -> UnansweredSummary {
         let attempt = Unanswered { server, sent_at };
         let is_new = !self.unanswered.contains(&attempt);
@@ -166,7 +170,7 @@
         UnansweredSummary { is_new, second_server_sent_at: second.map(|attempt| attempt.sent_at) }
     }
 
-    /// Forgets the attempts without a response.
+    /// Forgets the unanswered attempts.
     pub(super) fn clear_unanswered(&mut self) {
         self.unanswered.clear();
     }
--- a/src/zones/probation.rs
+++ b/src/zones/probation.rs
@@ -1,11 +1,12 @@
-//! Probation requests and health checks of zones that are not in use.
+//! Probation requests and health checks for zones whose share is reduced.
 
 use super::health::{ZoneHealth, ZoneUsage};
 use super::{ZoneScope, Zones};
 use crate::{Span, Time, ZoneId, ZonePhase};
 
 impl Zones {
-    /// A zone that is away or returning and due for a probation request of this class; sooner for an idempotent one.
+    /// A zone in the phase `Away` or `Returning` that is due for a probation request of this class. Requests that are
+    /// not idempotent are used two intervals later than others.
     pub(crate) fn due_probation(&self, now: Time, class: usize, is_idempotent: bool) -> Option<ZoneScope> {
         if !self.is_any_restricted {
             return None;
@@ -30,14 +31,14 @@
         whole.or_else(|| find(&is_class_due).map(|zone| ZoneScope { zone, class: Some(class) }))
     }
 
-    /// Takes in that a probation request has been sent.
+    /// Records that a probation request has been sent.
     pub(crate) fn record_probation(&mut self, now: Time, scope: ZoneScope) {
         let usage = self.usage_mut(scope);
         usage.next_probation_at = now + usage.probation_interval;
         usage.has_passed_health_check = scope.class.is_some();
     }
 
-    /// The zones that are due for a health check, so that no request has to find out whether they respond.
+    /// The zones that are due for a health check, which finds out whether a zone responds without risking a request.
     pub(crate) fn due_health_checks(&self, now: Time) -> Vec<ZoneId> {
         if !self.is_any_restricted || !self.has_health_checks {
             return Vec::new();
@@ -49,13 +50,13 @@
         due.map(|(zone, _)| *zone).collect()
     }
 
-    /// Takes in that a health check has been sent to a zone.
+    /// Records that a health check has been sent to a zone.
     pub(crate) fn record_health_check_sent(&mut self, now: Time, zone: ZoneId) {
         let usage = self.usage_mut(ZoneScope::whole_zone(zone));
         usage.next_probation_at = now + usage.probation_interval;
     }
 
-    /// Takes in the result of a health check; a zone that passes one is sent a probation request at once.
+    /// Records the result of a health check. A zone that passes one is due for a probation request at once.
     pub(crate) fn record_health_check(&mut self, now: Time, zone: ZoneId, is_success: bool) {
         let usage = self.usage_mut(ZoneScope::whole_zone(zone));
         if is_success && usage.phase == ZonePhase::Away {
--- a/src/zones/tests.rs
+++ b/src/zones/tests.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// One outcome at a server of a zone; it was sent 10 ms earlier.
+    /// Ends an attempt at a server of a zone, 10 ms after it was sent and 20 ms after the previous call.
     fn end(&mut self, zone: ZoneId, server: u32, outcome: Outcome) -> ZoneChange {
         self.now = self.now + Span::from_ms(20.0);
         let elapsed = Span::from_ms(10.0);
@@ -53,7 +53,7 @@
         self.zones.record_outcome(&mut context, attempt, zone_outcome, &mut Vec::new())
     }
 
-    /// Responses of the healthy zone between errors of the failing one, from so many servers.
+    /// Alternates successes in the healthy zone with errors at this number of servers of the failing one.
     fn fail(&mut self, servers: u32) {
         for i in 0..40 {
             self.end(HEALTHY, 100 + i % 3, Outcome::Success);
@@ -67,21 +67,21 @@
 }
 
 #[test]
-fn a_zone_that_fails_at_several_servers_is_left() {
+fn a_zone_that_fails_at_several_servers_loses_its_share() {
     let mut fixture = Fixture::new();
     fixture.fail(3);
     assert_eq!((fixture.share(FAILING), fixture.share(HEALTHY)), (0.0, 1.0));
 }
 
 #[test]
-fn a_zone_is_not_left_for_one_failing_server() {
+fn a_zone_keeps_its_share_if_only_one_server_fails() {
     let mut fixture = Fixture::new();
     fixture.fail(1);
     assert_eq!(fixture.share(FAILING), 1.0);
 }
 
 #[test]
-fn no_zone_is_left_where_all_of_them_fail() {
+fn all_zones_keep_their_shares_if_all_of_them_fail() {
     let mut fixture = Fixture::new();
     for i in 0..40 {
         fixture.end(HEALTHY, 100 + i % 3, Outcome::ServerError);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_zone_that_is_silent_at_two_servers_while_another_responds_is_unresponsive() {
+fn a_zone_with_two_unresponsive_servers_is_unresponsive_if_another_zone_responds() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.end(FAILING, 1, Outcome::ConnectFailed), ZoneChange::None);
     assert_eq!(fixture.end(FAILING, 2, Outcome::ConnectFailed), ZoneChange::None);
@@ -111,7 +111,11 @@
     fixture.now = fixture.now + Span::from_ms(5000.0);
     let due = fixture.zones.due_probation(fixture.now, 0, true).expect("a probation request is due");
     fixture.zones.record_probation(fixture.now, due);
-    assert_eq!(fixture.zones.due_probation(fixture.now, 0, true), None, "one at a time");
+    assert_eq!(
+        fixture.zones.due_probation(fixture.now, 0, true),
+        None,
+        "a second probation request is due at once"
+    );
     let mut shares = Vec::new();
     for _ in 0..5 {
         fixture.end(FAILING, 1, Outcome::Success);
@@ -130,7 +134,7 @@
 }
 
 #[test]
-fn the_silence_of_one_server_says_nothing_of_its_zone() {
+fn one_unresponsive_server_does_not_make_its_zone_unresponsive() {
     let mut health = ZoneHealth::new(2);
     for sent_ms in [10.0, 20.0, 30.0] {
         let unanswered = health.record_unanswered(ServerId(1), Time::from_ms(sent_ms));
