--- a/src/outliers.rs
+++ b/src/outliers.rs
@@ -19,8 +19,8 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Consecutive failures make a server an outlier if that many would occur by chance with at most this probability,
-/// given the failure rate of the fleet ...
+/// A server is an outlier if its number of consecutive failures would occur by chance with at most this probability,
+/// given the failure rate of the fleet, ...
 const MAX_CHANCE_PROBABILITY: f64 = 0.002;
 /// ... and if there are at least this many.
 const MIN_FAILURES: f64 = 2.0;
@@ -32,10 +32,10 @@
 /// The factor by which a successful response reduces the count of aborted ones. A success ends a series of failures,
 /// but a server that aborts every response starts each of them successfully, so the count is not reset.
 const ABORTED_DECAY_FACTOR: f64 = 0.75;
-/// An attempt is overdue after this multiple of the expected latency ...
+/// An attempt is overdue after this multiple of its expected latency, ...
 const OVERDUE_FACTOR: f64 = 4.0;
-/// ... but not before this fraction of the latency objective, or the whole objective if it is the only attempt at its
-/// server, as it may well be a costly request.
+/// ... but not before this fraction of the latency objective. An attempt that is alone at its server may well be a
+/// costly request and has the whole objective.
 const MIN_OVERDUE_FRACTION: f64 = 0.6;
 const MIN_OVERDUE_FRACTION_ALONE: f64 = 1.0;
 /// The maximum fraction of the open servers that are ejected. If more of them fail, the cause is elsewhere.
@@ -54,7 +54,7 @@
 /// Why a server is an outlier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum OutlierReason {
-    /// Its requests fail, or it is late with sparse traffic.
+    /// Its requests fail or, with sparse traffic, are late.
     Failing,
     /// It is slow compared with the other servers.
     Slow,
@@ -88,7 +88,7 @@
 struct Ejection {
     next_probation_at: Time,
     probation_interval: Span,
-    is_on_probation: bool,
+    is_probation_in_flight: bool,
 }
 
 /// The recent failures of one server, and its ejection or suspicion.
@@ -153,14 +153,14 @@
             } else {
                 ejection.probation_interval * NON_IDEMPOTENT_EXTRA_INTERVALS
             };
-            !ejection.is_on_probation && now >= ejection.next_probation_at + extra_wait
+            !ejection.is_probation_in_flight && now >= ejection.next_probation_at + extra_wait
         })
     }
 
     /// Records that the server is sent a request; true if that is a probation request.
     pub(crate) fn record_send(&mut self) -> bool {
         if let Some(ejection) = &mut self.ejection {
-            ejection.is_on_probation = true;
+            ejection.is_probation_in_flight = true;
         }
         self.is_ejected()
     }
@@ -198,7 +198,7 @@
             self.ejection = None;
             self.consecutive_failures = 0;
         } else if let Some(ejection) = &mut self.ejection {
-            ejection.is_on_probation = false;
+            ejection.is_probation_in_flight = false;
             if result == ProbationResult::Failed {
                 ejection.probation_interval = (ejection.probation_interval * 2.0).min(MAX_PROBATION_INTERVAL);
             }
@@ -211,7 +211,7 @@
         self.ejection = Some(Box::new(Ejection {
             next_probation_at: now + FIRST_PROBATION_INTERVAL,
             probation_interval: FIRST_PROBATION_INTERVAL,
-            is_on_probation: false,
+            is_probation_in_flight: false,
         }));
     }
 
