--- a/src/selection.rs
+++ b/src/selection.rs
@@ -15,7 +15,7 @@
 use crate::endpoints::DrawPool;
 use crate::fleet::Fleet;
 use crate::retries::RetryScope;
-use crate::{KeyId, ReportSource, RequestId, ServerId, Settings, Time};
+use crate::{AffinityKey, ReportSource, RequestId, ServerId, Settings, Time};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -56,7 +56,7 @@
     /// How strongly a server's slowdown counts for a request with this much work.
     pub(crate) slowdown_weight: f64,
     pub(crate) is_idempotent: bool,
-    pub(crate) key: Option<KeyId>,
+    pub(crate) key: Option<AffinityKey>,
     /// The slot of the server to which its affinity key was last sent.
     pub(crate) affinity_server: Option<usize>,
     /// The slots of the servers that it has already been sent to.
@@ -69,7 +69,7 @@
     /// The slots of the most recently selected servers, the latest first.
     remembered: Vec<usize>,
     /// The server that each affinity key was last sent to.
-    affinity: BTreeMap<KeyId, ServerId>,
+    affinity: BTreeMap<AffinityKey, ServerId>,
 }
 
 impl Selection {
@@ -94,7 +94,7 @@
     }
 
     /// The server to which an affinity key was last sent.
-    pub(crate) fn affinity_server(&self, key: KeyId) -> Option<ServerId> {
+    pub(crate) fn affinity_server(&self, key: AffinityKey) -> Option<ServerId> {
         self.affinity.get(&key).copied()
     }
 
@@ -124,8 +124,8 @@
     /// counts say little, if only health checks return load reports and these include the number of requests, and if
     /// the health checks for one selection cost nearly nothing.
     pub(crate) fn queries_load(&self, fleet: &Fleet) -> bool {
-        let price = self.settings.prices.probe * self.max_candidates(fleet) as f64;
-        self.settings.probes
+        let price = self.settings.prices.health_check * self.max_candidates(fleet) as f64;
+        self.settings.health_checks
             && self.settings.report_source == ReportSource::HealthChecks
             && fleet.load_reports.have_requests()
             && price <= MAX_QUERY_PRICE
@@ -148,7 +148,7 @@
         let mut found: Vec<usize> = Vec::with_capacity(draws + self.remembered.len() + 1);
         let has_price = self.settings.prices.cross_zone > 0.0 || fleet.endpoints.has_regions();
         let prefers_local =
-            has_price && fleet.level.value() >= MIN_LEVEL_FOR_LOCAL_DRAWS && !fleet.is_sparse();
+            has_price && fleet.admission_level.value() >= MIN_LEVEL_FOR_LOCAL_DRAWS && !fleet.is_sparse();
         let local_draws = if prefers_local { LOCAL_DRAWS } else { 0 };
         let rounds = [
             (DrawPool::OwnZone, local_draws, local_draws),
--- a/src/selection/weights.rs
+++ b/src/selection/weights.rs
@@ -112,12 +112,13 @@
         (requests.round() as i64, reported, race_time.to_bits())
     }
 
-    /// The relative capacity of a server: its listed size, divided by the requests that it has according to its report
+    /// The relative capacity of a server: its listed capacity, divided by the requests that it has according to its report
     /// and by the cube of its expected latency. Suspected servers weigh less, and those with an idle connection or in
     /// the own zone more.
     fn weight(&self, now: Time, fleet: &Fleet, server: &Server) -> f64 {
-        let listed_weight = if self.settings.weights == Weights::Size { server.endpoint.weight } else { 1.0 };
-        let size = if listed_weight.is_finite() && listed_weight > 0.0 { listed_weight } else { 1.0 };
+        let listed_weight =
+            if self.settings.weights == Weights::Capacity { server.endpoint.weight } else { 1.0 };
+        let capacity = if listed_weight.is_finite() && listed_weight > 0.0 { listed_weight } else { 1.0 };
         let requests = server.report.expected(now, fleet.load_reports.mean());
         let latency = fleet.latencies.expected(server.endpoint.kind, &server.latency);
         let prices = &self.settings.prices;
@@ -128,7 +129,7 @@
         let zone_preference =
             if is_own_zone { PERCENT * OWN_ZONE_PREFERENCE_PER_PERCENT * prices.cross_zone } else { 0.0 };
         let health = server.health.weight(now);
-        (1.0 + idle_preference) * (1.0 + zone_preference) * health * size
+        (1.0 + idle_preference) * (1.0 + zone_preference) * health * capacity
             / (1.0 + requests)
             / latency.max(MIN_LATENCY_FRACTION).powi(LATENCY_EXPONENT)
     }
