--- a/src/zones/health.rs
+++ b/src/zones/health.rs
@@ -88,7 +88,7 @@
         match share {
             0.0 => ZonePhase::Away,
             1.0.. => ZonePhase::Serving,
-            less if less < self.share => ZonePhase::Leaving,
+            reduced if reduced < self.share => ZonePhase::Leaving,
             _ => ZonePhase::Returning,
         }
     }
