--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -152,7 +152,7 @@
     /// count.
     fn is_unservable(&self, now: Time, pending: &PendingRequest) -> bool {
         let usual_latency = self.fleet.latencies.usual(pending.request.class.0);
-        self.fleet.endpoints.is_all_held_back()
+        self.fleet.endpoints.are_all_disabled()
             || is_too_late(now, self.class(&pending.request), &pending.limits, usual_latency)
     }
 
