--- a/agent/src/downstream/body_reader.rs
+++ b/agent/src/downstream/body_reader.rs
@@ -5,7 +5,7 @@
 use crate::driver::arrival::Content;
 use crate::traffic::body_deadline::BodyDeadline;
 use crate::traffic::memory_budget::{MemoryBudget, MemoryReservation, MAX_BUFFERED_BODY_BYTES};
-use crate::traffic::request_body::{BodyError, LongBody, RequestBodyStream, MAX_REQUEST_BODY_BYTES};
+use crate::traffic::request_body::{BodyError, RequestBodyParts, RequestBodyStream, MAX_REQUEST_BODY_BYTES};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -50,8 +50,8 @@
 enum BufferedBody {
     /// Short, and complete.
     Complete(Bytes),
-    /// Long; this is its beginning.
-    Beginning(Bytes),
+    /// Long; this is its prefix.
+    Prefix(Bytes),
 }
 
 impl BodyReader<'_> {
@@ -61,7 +61,7 @@
         if hint.lower() > MAX_REQUEST_BODY_BYTES {
             return Err(BodyError::TooLong.into());
         }
-        let mut beginning = Bytes::new();
+        let mut prefix = Bytes::new();
         let mut memory_wait = Duration::ZERO;
         if hint.lower() <= MAX_BUFFERED_BODY_BYTES as u64 {
             let bytes = hint.exact().map_or(MAX_BUFFERED_BODY_BYTES, |length| length as usize);
@@ -72,19 +72,19 @@
                     let content = Content::Buffered { bytes, _reservation: memory.reservation };
                     return Ok(ReceivedBody { content, memory_wait });
                 }
-                BufferedBody::Beginning(bytes) => beginning = bytes,
+                BufferedBody::Prefix(bytes) => prefix = bytes,
             }
         }
         let wait = self.wait.saturating_sub(memory_wait);
         let memory = self.wait_for_memory(self.budget.reserve_streamed_request(), wait).await?;
         memory_wait += memory.waited;
-        let stream = RequestBodyStream::new(LongBody {
-            beginning,
+        let stream = RequestBodyStream::new(RequestBodyParts {
+            prefix,
             remainder: body,
             deadline: self.deadline,
             expects_continue: self.expects_continue,
             reservation: memory.reservation,
-            received_since: Instant::now() - memory_wait,
+            earliest_end: Instant::now() - memory_wait,
         });
         Ok(ReceivedBody { content: Content::Streamed(stream), memory_wait })
     }
@@ -99,7 +99,7 @@
             self.deadline.record_bytes(bytes.len());
             buffered.extend_from_slice(&bytes);
         }
-        Ok(BufferedBody::Beginning(buffered.freeze()))
+        Ok(BufferedBody::Prefix(buffered.freeze()))
     }
 
     /// Waits for memory for as long as the client waits and the body has time to come.
--- a/agent/src/downstream/server.rs
+++ b/agent/src/downstream/server.rs
@@ -4,7 +4,7 @@
 use crate::downstream::handler::RequestHandler;
 use crate::downstream::lifecycle::Phase;
 use crate::driver::Driver;
-use crate::traffic::errors::{concerns_one_connection, is_shortage};
+use crate::traffic::errors::{is_connection_error, is_shortage};
 use crate::traffic::lingering::LingeringCloses;
 use crate::traffic::socket::Socket;
 use socket2::SockRef;
@@ -79,7 +79,7 @@
         while let Some(slot) = self.acquire_slot().await {
             match listener.accept().await {
                 Ok((stream, _)) => self.serve(stream, slot),
-                Err(error) if concerns_one_connection(&error) => {}
+                Err(error) if is_connection_error(&error) => {}
                 Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
             }
         }
@@ -97,7 +97,7 @@
                         self.serve(stream, slot);
                     }
                 }
-                Err(error) if concerns_one_connection(&error) => {}
+                Err(error) if is_connection_error(&error) => {}
                 Err(error) if is_shortage(&error) => sleep(ACCEPT_RETRY_INTERVAL).await,
                 // The queue is empty, or there is none any more.
                 Err(_) => return,
--- a/agent/src/traffic/attempt_body.rs
+++ b/agent/src/traffic/attempt_body.rs
@@ -1,4 +1,4 @@
-//! The body of the request that an attempt sends.
+//! The request body that an attempt sends.
 
 use crate::traffic::request_body::RequestBodyStream;
 use bytes::Bytes;
@@ -9,19 +9,19 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// The body of an attempt: a buffered one, or the client's own as it comes.
+/// The request body of an attempt: buffered, or forwarded while the client sends it.
 pub enum AttemptBody {
-    /// A body that is buffered completely.
+    /// A completely buffered body.
     Buffered(Full<Bytes>),
-    /// A body that is streamed; its beginning, which is buffered, goes first.
+    /// A streamed body: its buffered prefix, then the chunks that the client sends.
     Streamed(StreamedBody),
 }
 
-/// One attempt's way through a long body.
+/// One attempt's position in a streamed body.
 pub struct StreamedBody {
     stream: Rc<RequestBodyStream>,
-    beginning_is_sent: bool,
-    /// Called when the last byte is on its way.
+    prefix_is_sent: bool,
+    /// Called when all chunks have been handed to the HTTP library.
     on_end: Option<Box<dyn FnOnce()>>,
 }
 
@@ -32,12 +32,12 @@
 }
 
 impl AttemptBody {
-    /// A further attempt with this body.
+    /// The body of one more attempt with the request body `stream`.
     pub fn streamed(stream: &Rc<RequestBodyStream>) -> Self {
-        AttemptBody::Streamed(StreamedBody { stream: stream.clone(), beginning_is_sent: false, on_end: None })
+        AttemptBody::Streamed(StreamedBody { stream: stream.clone(), prefix_is_sent: false, on_end: None })
     }
 
-    /// Calls `on_end` when the last byte of a body without a known length is on its way.
+    /// Calls `on_end` when all chunks of a body without a known length have been handed to the HTTP library.
     pub fn set_on_end(&mut self, on_end: impl FnOnce() + 'static) {
         if let AttemptBody::Streamed(body) = self {
             body.on_end = Some(Box::new(on_end));
@@ -59,10 +59,10 @@
             }
             AttemptBody::Streamed(streamed) => streamed,
         };
-        if !std::mem::replace(&mut streamed.beginning_is_sent, true) {
-            let beginning = streamed.stream.beginning();
-            if !beginning.is_empty() {
-                return Poll::Ready(Some(Ok(Frame::data(beginning))));
+        if !std::mem::replace(&mut streamed.prefix_is_sent, true) {
+            let prefix = streamed.stream.prefix();
+            if !prefix.is_empty() {
+                return Poll::Ready(Some(Ok(Frame::data(prefix))));
             }
         }
         let chunk = streamed.stream.poll_chunk(cx);
--- a/agent/src/traffic/connection_timer.rs
+++ b/agent/src/traffic/connection_timer.rs
@@ -1,5 +1,6 @@
-//! How long a client may take for a head, for an answer and between two requests. A slow client is not a silent one, so
-//! nothing here goes by the total: a head counts from its first byte, and a body has its [`BodyDeadline`].
+//! Timeouts of client connections: while a head is read, while a response is written and between two requests. A slow
+//! client is not an unresponsive one, so no timeout bounds a whole request: a head is timed from its first byte, and a
+//! body has its [`BodyDeadline`].
 
 use crate::traffic::body_deadline::BodyDeadline;
 use crate::traffic::socket::Socket;
@@ -15,48 +16,50 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, Instant};
 
-/// A connection over which nothing comes for this long is closed: the terms allow it from 2 s without a request on.
+/// An idle connection is closed after this time. The service terms allow it after 2 s without a request.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// A head may take this long from its first byte on, and the first one of a connection from the connect: the terms
-/// give it 2 s, and want a peer that sends none gone within 3 s. A body gets as long, whatever its rate.
+/// A head times out this long after its first byte; the first head of a connection, this long after the connection was
+/// accepted. The service terms grant a head 2 s and require that a peer that sends none is disconnected within 3 s.
+/// Also the grace period of a body, during which its rate does not matter.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2800);
-/// A client that takes nothing of its answer for this long will take no more.
+/// A client that reads nothing of its response for this long is not expected to continue.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How often a connection with an active request is checked.
+/// How often the deadline is computed again while a request is active and none applies.
 const CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Lets what is ready by now be handled first: an answer that has come by a timeout needs some turns of the runtime, from
-/// the socket to the one who waits for it, and no time.
+/// Yields to the runtime `turns` times, so that events that are ready by now are handled first: an answer that arrived
+/// before a timeout takes no time but some turns to get from the socket to the task that waits for it.
 pub async fn yield_turns(turns: u32) {
     for _ in 0..turns {
         yield_now().await;
     }
 }
 
-/// Where a client's connection stands, and since when.
+/// The state of a client connection as far as its timeouts depend on it.
 pub struct ConnectionTimer {
     opened_at: Instant,
-    /// Its first head is not complete yet.
+    /// Whether the first head is not complete yet.
     awaits_first_request: Cell<bool>,
     has_active_request: Cell<bool>,
     idle_since: Cell<Instant>,
-    /// When the first byte of a head came.
+    /// When the first byte of the current head arrived; `None` if none has.
     head_started_at: Cell<Option<Instant>>,
-    /// Since when nothing can be written.
+    /// Since when a write has been blocked; `None` if none is.
     write_blocked_since: Cell<Option<Instant>>,
+    /// Notified when a request ends, as that changes the deadline.
     changed: Notify,
 }
 
-/// What a request gets of its connection when its head is complete.
+/// The timing of a request whose head is complete.
 pub struct StartedRequest {
-    /// When its body has to come.
+    /// When its body times out.
     pub body_deadline: BodyDeadline,
-    /// Ends with its answer.
+    /// Keeps it active until the end of its response.
     pub active: ActiveRequest,
 }
 
 impl ConnectionTimer {
-    /// Times a connection that has just been accepted.
+    /// The timer of a connection that has just been accepted.
     pub fn new() -> Rc<Self> {
         let opened_at = Instant::now();
         Rc::new(ConnectionTimer {
@@ -70,7 +73,7 @@
         })
     }
 
-    /// Starts a request, whose head is complete.
+    /// Starts a request when its head is complete.
     pub fn start_request(self: &Rc<Self>) -> StartedRequest {
         self.has_active_request.set(true);
         let is_first = self.awaits_first_request.replace(false);
@@ -81,29 +84,29 @@
         }
     }
 
-    /// Whether a request has not been answered completely.
+    /// Whether there is a request that has not been answered completely.
     pub fn has_active_request(&self) -> bool {
         self.has_active_request.get()
     }
 
-    /// Whether no request is active, nothing of a head has come, and all is written out.
+    /// Whether no request is active, no byte of a head has arrived and no write is blocked.
     pub fn is_idle(&self) -> bool {
         !self.has_active_request.get()
             && self.head_started_at.get().is_none()
             && self.write_blocked_since.get().is_none()
     }
 
-    /// Whether the client does not take what is written to it.
+    /// Whether a write is blocked, as the client does not read.
     pub fn is_write_blocked(&self) -> bool {
         self.write_blocked_since.get().is_some()
     }
 
-    /// Whether no request has come yet.
+    /// Whether the first head of the connection is not complete yet.
     pub fn awaits_first_request(&self) -> bool {
         self.awaits_first_request.get()
     }
 
-    /// When the client has taken too long, as things stand; `None` while an active request is at work.
+    /// When the client times out in the current state; `None` while a request is active and no write is blocked.
     fn deadline(&self) -> Option<Instant> {
         if let Some(blocked_since) = self.write_blocked_since.get() {
             return Some(blocked_since + WRITE_TIMEOUT);
@@ -118,7 +121,7 @@
         })
     }
 
-    /// Waits until the client has taken too long.
+    /// Waits until the client has timed out.
     pub async fn wait_until_overdue(&self) {
         loop {
             let now = Instant::now();
@@ -134,7 +137,7 @@
     }
 }
 
-/// A request that has not been answered completely; its connection is idle once this is dropped.
+/// A request that has not been answered completely. When it is dropped, its connection becomes idle.
 pub struct ActiveRequest(Rc<ConnectionTimer>);
 
 impl Drop for ActiveRequest {
@@ -147,14 +150,14 @@
     }
 }
 
-/// A client's socket, whose reads and writes are timed.
+/// A client's socket whose reads and writes are recorded in the timer of its connection.
 pub struct TimedSocket {
     io: TokioIo<Socket>,
     timer: Rc<ConnectionTimer>,
 }
 
 impl TimedSocket {
-    /// Records in `timer` what passes over `socket`.
+    /// Records the reads and writes of `socket` in `timer`.
     pub fn new(socket: Socket, timer: Rc<ConnectionTimer>) -> Self {
         TimedSocket { io: TokioIo::new(socket), timer }
     }
@@ -173,7 +176,7 @@
                 timer.write_blocked_since.set(Some(Instant::now()));
             }
             Poll::Pending => {}
-            // What is still being written out is no idle time.
+            // The time in which a response is still being written does not count as idle time.
             Poll::Ready(_) => {
                 if timer.write_blocked_since.take().is_some() && !timer.has_active_request.get() {
                     timer.idle_since.set(Instant::now());
--- a/agent/src/traffic/errors.rs
+++ b/agent/src/traffic/errors.rs
@@ -1,9 +1,10 @@
-//! Classifies the errors of system calls on sockets: those of one connection, and the agent's own shortages.
+//! Classifies the errors of socket calls: those of a single connection, and exhausted descriptors or memory.
 
 use std::io;
 
-/// Whether `accept` failed for the connection that it would have taken (accept(2)), and the next one may be good.
-pub fn concerns_one_connection(error: &io::Error) -> bool {
+/// Whether `accept` failed because of the connection that it would have returned (accept(2)). The next call may
+/// succeed.
+pub fn is_connection_error(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
         Some(
@@ -22,7 +23,7 @@
     )
 }
 
-/// Whether a call failed as the agent or its system has run out of descriptors or memory for now.
+/// Whether a call failed because the process or the system is out of descriptors or memory for now.
 pub fn is_shortage(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM))
 }
--- a/agent/src/traffic/lingering.rs
+++ b/agent/src/traffic/lingering.rs
@@ -1,5 +1,5 @@
-//! Lingering closes: connections that the agent has ended and whose peers have not. Each may take its time; while new
-//! connections wait for a slot, those that have lingered longest are aborted.
+//! Lingering closes: connections that the agent has shut down and whose peers have not closed their side yet. While new
+//! connections wait for a slot, the closes that have lingered longest are aborted; otherwise each has its full time.
 
 use crate::traffic::socket::Socket;
 use std::cell::RefCell;
@@ -8,9 +8,9 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{sleep_until, Instant};
 
-/// What a peer gets to end its own side even where slots are short: an answer on its way has come by then, and bytes
-/// that crossed it have been read.
-const MIN_LINGER: Duration = Duration::from_millis(50);
+/// A peer has at least this long to close its side, even while new connections wait for slots: by then a response in
+/// flight has arrived, and bytes that the peer sent before it got the response have been read.
+const MIN_LINGER_TIME: Duration = Duration::from_millis(50);
 
 /// The lingering closes of a process, the oldest first.
 #[derive(Default)]
@@ -19,21 +19,22 @@
     started: Notify,
 }
 
-/// One of them, as the listening side sees it.
+/// A handle to one lingering close, through which it is aborted.
 struct LingeringClose {
     started_at: Instant,
     abort: oneshot::Sender<()>,
+    /// Resolves when the close has ended.
     ended: oneshot::Receiver<()>,
 }
 
 impl LingeringCloses {
-    /// Ends the own side of a connection and lingers until its peer has ended the other one, for as long as that may
-    /// take at most, or until it is aborted.
+    /// Shuts down the agent's side of a connection, then lingers until the peer has closed its side, the linger timeout
+    /// has expired or the close is aborted.
     pub async fn close(&self, socket: Socket) {
         let (abort, aborted) = oneshot::channel();
-        // Dropped with the end of this close, which notifies whoever waits for it.
+        // Dropped when this close ends, which notifies the task that waits for `ended`.
         let (_end_guard, ended) = oneshot::channel();
-        self.forget_ended();
+        self.remove_ended();
         self.closes.borrow_mut().push_back(LingeringClose { started_at: Instant::now(), abort, ended });
         self.started.notify_one();
         tokio::select! {
@@ -43,12 +44,12 @@
         }
     }
 
-    /// Waits until the oldest has lingered for [`MIN_LINGER`], aborts it and waits for its end.
+    /// Waits until the oldest close has lingered for [`MIN_LINGER_TIME`], aborts it and waits for its end.
     pub async fn abort_oldest(&self) {
         loop {
             match self.oldest_started_at() {
-                Some(started_at) if started_at.elapsed() >= MIN_LINGER => break,
-                Some(started_at) => sleep_until(started_at + MIN_LINGER).await,
+                Some(started_at) if started_at.elapsed() >= MIN_LINGER_TIME => break,
+                Some(started_at) => sleep_until(started_at + MIN_LINGER_TIME).await,
                 None => self.started.notified().await,
             }
         }
@@ -59,13 +60,13 @@
         }
     }
 
-    /// When the oldest that still lingers has started.
+    /// When the oldest close that still lingers has started.
     fn oldest_started_at(&self) -> Option<Instant> {
-        self.forget_ended();
+        self.remove_ended();
         self.closes.borrow().front().map(|close| close.started_at)
     }
 
-    fn forget_ended(&self) {
+    fn remove_ended(&self) {
         self.closes.borrow_mut().retain(|close| !close.abort.is_closed());
     }
 }
--- a/agent/src/traffic/lingering/tests.rs
+++ b/agent/src/traffic/lingering/tests.rs
@@ -35,7 +35,7 @@
             };
             let waited = Instant::now();
             lingering.abort_oldest().await;
-            assert!(waited.elapsed() >= MIN_LINGER - 30 * MS, "{:?}", waited.elapsed());
+            assert!(waited.elapsed() >= MIN_LINGER_TIME - 30 * MS, "{:?}", waited.elapsed());
             assert_eq!(ended(&closes), [true, false, false]);
             sleep(100 * MS).await;
             assert_eq!(ended(&closes), [true, false, false], "aborted though nobody needs the slot");
--- a/agent/src/traffic/mod.rs
+++ b/agent/src/traffic/mod.rs
@@ -1,5 +1,5 @@
-//! What both sides of the agent share: sockets and how they close, bodies and the memory that they take, and how long a
-//! client may take.
+//! Shared by the sides of the agent that face clients and servers: sockets and how they are closed, bodies and their
+//! memory budget, and the timeouts of clients.
 
 pub mod attempt_body;
 pub mod body_deadline;
--- a/agent/src/traffic/request_body.rs
+++ b/agent/src/traffic/request_body.rs
@@ -1,5 +1,5 @@
-//! The stream of a long request body: the client sends it, and the attempt in flight takes it chunk by chunk, the next
-//! when the last has been taken.
+//! The stream of a request body that is too long to be buffered: its chunks pass from the client to the attempt in
+//! flight. The next chunk is read when the last one has been taken.
 
 mod reader;
 
@@ -19,42 +19,44 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// How far a long request body has come.
+/// The state of a streamed request body.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum BodyState {
     Receiving,
+    /// The client had sent the last byte at this time.
     Complete(Instant),
     Failed(BodyError),
 }
 
-/// What the decisions have to know of a long body.
+/// Progress of a streamed body that the balancer is notified of.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum BodyEvent {
-    /// A part of it has been forwarded and is not buffered.
+    /// Bytes past the buffered prefix have been forwarded, so the body cannot be sent again.
     Consumed,
-    /// Its last byte has come.
+    /// The last byte has arrived.
     Complete,
 }
 
 type BodyListener = Box<dyn Fn(BodyEvent)>;
 
-/// A body that has turned out to be long.
-pub struct LongBody {
-    /// What came while it might still have been a short one.
-    pub beginning: Bytes,
-    /// The rest.
+/// What a [`RequestBodyStream`] is made of.
+pub struct RequestBodyParts {
+    /// The bytes that were read before the body proved too long to be buffered.
+    pub prefix: Bytes,
+    /// The rest of the body, not read yet.
     pub remainder: Incoming,
-    /// When the rest has to come.
+    /// When the rest of the body times out.
     pub deadline: BodyDeadline,
-    /// Whether the client waits for `100 Continue` before it sends anything.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// Its part of the memory budget.
+    /// The memory reserved for the body.
     pub reservation: MemoryReservation,
-    /// What has come since then, and lies in the system's buffers, may be all of it.
-    pub received_since: Instant,
+    /// The earliest time at which the client may have sent the last byte: the body has not been read since, and the
+    /// rest of it may be in the kernel's socket buffer.
+    pub earliest_end: Instant,
 }
 
-/// A long request body on its way from the client.
+/// A request body that is forwarded while the client sends it.
 pub struct RequestBodyStream {
     /// Its length in bytes, if the client has declared it.
     length: Option<u64>,
@@ -67,13 +69,14 @@
 }
 
 impl RequestBodyStream {
-    /// A stream of which nothing has been taken yet.
-    pub fn new(body: LongBody) -> Rc<Self> {
-        let LongBody { beginning, remainder, deadline, expects_continue, reservation, received_since } = body;
-        let length = remainder.size_hint().exact().map(|bytes| beginning.len() as u64 + bytes);
-        let mut reader = BodyReader::new(beginning, remainder, deadline, received_since);
+    /// A stream of which no chunk has been taken yet.
+    pub fn new(body: RequestBodyParts) -> Rc<Self> {
+        let RequestBodyParts { prefix, remainder, deadline, expects_continue, reservation, earliest_end } =
+            body;
+        let length = remainder.size_hint().exact().map(|bytes| prefix.len() as u64 + bytes);
+        let mut reader = BodyReader::new(prefix, remainder, deadline, earliest_end);
         if expects_continue {
-            reader.expect_no_early_bytes();
+            reader.record_expect_continue();
         }
         Rc::new(RequestBodyStream {
             length,
@@ -86,7 +89,7 @@
         })
     }
 
-    /// Notifies `listener` of all events from now on.
+    /// Notifies `listener` of all further events.
     pub fn set_listener(&self, listener: impl Fn(BodyEvent) + 'static) {
         *self.listener.borrow_mut() = Some(Box::new(listener));
     }
@@ -96,12 +99,12 @@
         self.length
     }
 
-    /// What came while it might still have been a short one; it is buffered for each attempt.
-    pub fn beginning(&self) -> Bytes {
-        self.reader.borrow().beginning()
+    /// The bytes that were read before the body proved too long to be buffered. Every attempt gets them.
+    pub fn prefix(&self) -> Bytes {
+        self.reader.borrow().prefix()
     }
 
-    /// Waits for its last byte; when that has come.
+    /// Waits for the last byte and returns when the client had sent it.
     pub async fn wait_until_complete(&self) -> Instant {
         loop {
             let state = self.wait_for(|state| matches!(state, BodyState::Complete(_))).await;
@@ -111,16 +114,16 @@
         }
     }
 
-    /// Waits until an attempt that starts now has had its time: `wait` after the last byte, or when its server has taken
-    /// nothing for so long that it never will.
-    pub async fn wait_for_attempt_timeout(&self, wait: Duration) {
+    /// Waits until an attempt that starts now has timed out: `timeout` after the last byte, or when its server has read
+    /// nothing for [`STALL_TIMEOUT`].
+    pub async fn wait_for_attempt_timeout(&self, timeout: Duration) {
         tokio::select! {
-            complete_at = self.wait_until_complete() => sleep_until(complete_at + wait).await,
+            complete_at = self.wait_until_complete() => sleep_until(complete_at + timeout).await,
             () = self.wait_until_stalled() => {}
         }
     }
 
-    /// Waits until nobody has polled for [`STALL_TIMEOUT`].
+    /// Waits until no chunk has been polled for during [`STALL_TIMEOUT`].
     async fn wait_until_stalled(&self) {
         let started = Instant::now();
         loop {
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Waits until it has failed.
+    /// Waits until the body has failed.
     pub async fn wait_for_error(&self) -> BodyError {
         loop {
             let state = self.wait_for(|state| matches!(state, BodyState::Failed(_))).await;
@@ -143,20 +146,20 @@
         }
     }
 
-    async fn wait_for(&self, is_awaited: impl Fn(&BodyState) -> bool) -> BodyState {
-        // The sender is this stream's own, so it is there for as long as anybody waits.
-        match self.state.subscribe().wait_for(|state| is_awaited(state)).await {
+    async fn wait_for(&self, matches_state: impl Fn(&BodyState) -> bool) -> BodyState {
+        // `self` owns the sender, so it is not dropped while a task is waiting.
+        match self.state.subscribe().wait_for(|state| matches_state(state)).await {
             Ok(state) => *state,
             Err(_) => std::future::pending().await,
         }
     }
 
-    /// For how long it may have lain unread while its client had sent all of it and waited for the response.
+    /// The longest time for which the complete body may have been unread while its client waited for the response.
     pub fn unread_time(&self) -> Duration {
         self.reader.borrow().unread_time()
     }
 
-    /// When it was complete, if it is.
+    /// When the client had sent the last byte; `None` if the body is not complete.
     pub fn completed_at(&self) -> Option<Instant> {
         match *self.state.borrow() {
             BodyState::Complete(at) => Some(at),
@@ -164,21 +167,21 @@
         }
     }
 
-    /// Whether it will never be complete.
+    /// Whether the body has failed and will never be complete.
     pub fn has_failed(&self) -> bool {
         matches!(*self.state.borrow(), BodyState::Failed(_))
     }
 
-    /// Reads what the client still sends after its response, so that the response is not lost in a connection that ends
-    /// with bytes unread. A client that waits for `100 Continue` does not get it.
+    /// Reads and discards what the client still sends after its response: closing a connection with unread bytes could
+    /// lose the response. A client that waits for `100 Continue` does not get it, so nothing is read from it.
     pub async fn discard(self: Rc<Self>) {
-        let has_begun = self.reader.borrow().has_read();
-        if has_begun || !self.expects_continue {
+        let is_started = self.reader.borrow().has_read();
+        if is_started || !self.expects_continue {
             while let Some(Ok(_)) = poll_fn(|cx| self.poll_chunk(cx)).await {}
         }
     }
 
-    /// Polls for the chunk after [`RequestBodyStream::beginning`] and those that have been taken.
+    /// Polls for the next chunk. The first one follows [`RequestBodyStream::prefix`].
     pub fn poll_chunk(&self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         match *self.state.borrow() {
             BodyState::Receiving => {}
--- a/agent/src/traffic/request_body/reader.rs
+++ b/agent/src/traffic/request_body/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a long request body from its client, and times it.
+//! Reads a streamed request body from its client and enforces its deadline.
 
 use crate::traffic::body_deadline::BodyDeadline;
 use bytes::Bytes;
@@ -9,79 +9,80 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant, Sleep};
 
-/// The longest request body: 32 MB, as the operators say, and what such figures round off.
+/// The longest request body. The operators' limit is 32 MB, which may be rounded, so a little more is accepted.
 pub const MAX_REQUEST_BODY_BYTES: u64 = 33 << 20;
-/// A chunk that comes so long after it was polled for had not been sent before.
-const STARVED_AFTER: Duration = Duration::from_millis(5);
+/// A chunk that arrives later than this after it was polled for had not been sent before the poll.
+const STARVATION_THRESHOLD: Duration = Duration::from_millis(5);
 
-/// Why a request body is not complete.
+/// Why a request body cannot be completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
     /// It is longer than [`MAX_REQUEST_BODY_BYTES`].
     #[error("a body holds at most 32 MB")]
     TooLong,
-    /// Its client has stopped sending it, or is too slow.
+    /// The client has stopped sending it or is too slow.
     #[error("the body did not come in time")]
     TimedOut,
-    /// It is malformed, or its client has disconnected.
+    /// It is malformed, or the client has disconnected.
     #[error("the body did not come whole")]
     Broken,
 }
 
-/// What a client has sent next.
+/// The result of reading from a body.
 pub enum Chunk {
-    /// Bytes, the last ones if the body is complete with them.
+    /// The next bytes. If they are the last ones, `complete_at` is when the client had sent them.
     Data { bytes: Bytes, complete_at: Option<Instant> },
-    /// The end of the body.
+    /// The end of the body, which the client had sent at `complete_at`.
     End { complete_at: Instant },
-    /// Nothing that a body could go on with.
+    /// The body cannot be completed.
     Failed(BodyError),
 }
 
-/// Reads the body chunk by chunk.
+/// Reads a body chunk by chunk.
 pub struct BodyReader {
-    beginning: Bytes,
+    prefix: Bytes,
     body: Incoming,
     deadline: BodyDeadline,
+    /// Including the prefix.
     bytes_read: u64,
-    /// Since when its client may have sent all of it, for all that is known.
-    received_since: Instant,
+    /// The earliest time at which the client may have sent the last byte.
+    earliest_end: Instant,
     first_polled_at: Option<Instant>,
-    /// Since when the chunk that is polled for has not come.
+    /// Since when a poll has been waiting for a chunk; `None` if none is.
     pending_since: Option<Instant>,
-    /// It is known that its client is still sending.
+    /// A poll had to wait for the client, so the complete body cannot have been unread.
     is_starved: bool,
-    /// Since when nobody has polled for more.
+    /// Since when no chunk has been polled for; `None` while a poll is pending.
     paused_since: Option<Instant>,
     timeout: Pin<Box<Sleep>>,
 }
 
 impl BodyReader {
-    /// Reads `body`, of which `beginning` has been read already.
-    pub fn new(beginning: Bytes, body: Incoming, deadline: BodyDeadline, received_since: Instant) -> Self {
+    /// Reads the rest of a body, `body`, of which `prefix` has been read already.
+    pub fn new(prefix: Bytes, body: Incoming, deadline: BodyDeadline, earliest_end: Instant) -> Self {
         BodyReader {
-            bytes_read: beginning.len() as u64,
-            beginning,
+            bytes_read: prefix.len() as u64,
+            prefix,
             body,
-            received_since,
+            earliest_end,
             first_polled_at: None,
             pending_since: None,
             is_starved: false,
-            // Until an attempt polls for more, that nothing comes is not the client's doing.
+            // Until an attempt polls for a chunk, the client is not responsible for the lack of progress.
             paused_since: Some(deadline.last_progress()),
             timeout: Box::pin(sleep_until(deadline.due())),
             deadline,
         }
     }
 
-    /// The client waits for `100 Continue`: of what has not been read nothing has been sent.
-    pub fn expect_no_early_bytes(&mut self) {
+    /// Records that the client waits for `100 Continue`: if nothing has been read, nothing has been sent either.
+    pub fn record_expect_continue(&mut self) {
         self.is_starved = self.bytes_read == 0;
     }
 
-    /// What had been read before.
-    pub fn beginning(&self) -> Bytes {
-        self.beginning.clone()
+    /// The bytes that had been read before this reader was created.
+    pub fn prefix(&self) -> Bytes {
+        self.prefix.clone()
     }
 
     /// Whether any byte has been read.
@@ -89,20 +90,20 @@
         self.bytes_read > 0
     }
 
-    /// Since when nobody has polled for more.
+    /// Since when no chunk has been polled for; `None` while a poll is pending.
     pub fn paused_since(&self) -> Option<Instant> {
         self.paused_since
     }
 
-    /// For how long the body may have lain unread.
+    /// The longest time for which the complete body may have been unread.
     pub fn unread_time(&self) -> Duration {
         if self.is_starved {
             return Duration::ZERO;
         }
-        self.first_polled_at.unwrap_or_else(Instant::now).saturating_duration_since(self.received_since)
+        self.first_polled_at.unwrap_or_else(Instant::now).saturating_duration_since(self.earliest_end)
     }
 
-    /// When the client had sent all of it, if that is all there now.
+    /// When the client had sent the last byte, if the body is complete now.
     fn complete_at(&self) -> Instant {
         Instant::now() - self.unread_time()
     }
@@ -124,7 +125,7 @@
                 Poll::Pending => return self.poll_timeout(cx),
             }
         };
-        Poll::Ready(self.record(bytes))
+        Poll::Ready(self.record_chunk(bytes))
     }
 
     fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<Chunk> {
@@ -133,8 +134,9 @@
         self.timeout.as_mut().poll(cx).map(|()| Chunk::Failed(BodyError::TimedOut))
     }
 
-    fn record(&mut self, bytes: Bytes) -> Chunk {
-        self.is_starved |= self.pending_since.take().is_some_and(|since| since.elapsed() > STARVED_AFTER);
+    fn record_chunk(&mut self, bytes: Bytes) -> Chunk {
+        self.is_starved |=
+            self.pending_since.take().is_some_and(|since| since.elapsed() > STARVATION_THRESHOLD);
         self.bytes_read += bytes.len() as u64;
         if self.bytes_read > MAX_REQUEST_BODY_BYTES {
             return Chunk::Failed(BodyError::TooLong);
--- a/agent/src/traffic/response_body.rs
+++ b/agent/src/traffic/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of a response on its way to the client.
+//! The body of a response to a client.
 
 use crate::metrics::{RequestEnd, RequestMetrics};
 use crate::traffic::body_deadline::STALL_TIMEOUT;
@@ -13,46 +13,48 @@
 use std::task::{Context, Poll};
 use tokio::time::{sleep, Instant, Sleep};
 
-/// Gives the connection of a response back after its last byte; dropped uncalled, it ends the connection.
+/// Returns the connection of a response to its pool after the last byte. If it is dropped without a call, the
+/// connection is closed.
 pub type ReturnConnection = Box<dyn FnOnce()>;
 
-/// A response body as the client gets it.
+/// The response body that the client gets: buffered bytes, then the rest of a stream.
 pub struct ResponseBody {
     buffered: VecDeque<Bytes>,
     stream: Option<ResponseStream>,
     _reservation: Option<MemoryReservation>,
-    /// The client's request is active until this is dropped.
+    /// Keeps the client's request active until this body is dropped.
     request: Option<ActiveRequest>,
 }
 
-/// The part of a response that its server has still to send.
+/// The part of a response that its server has not sent yet.
 struct ResponseStream {
     body: Incoming,
-    /// Its connection is used again after a complete response and ends with a broken one.
+    /// Called after a complete response; dropped if the response breaks off.
     return_connection: ReturnConnection,
-    /// The metrics of its request, which ends with it.
+    /// The metrics of the request, which ends with this stream.
     metrics: Option<RequestMetrics>,
-    /// Called if it breaks off.
+    /// Called if the response breaks off.
     on_abort: Option<Box<dyn FnOnce()>>,
-    stall: Pin<Box<Sleep>>,
+    /// Expires when the server has sent nothing for [`STALL_TIMEOUT`].
+    stall_timer: Pin<Box<Sleep>>,
 }
 
 impl ResponseBody {
-    /// A body that is buffered completely.
+    /// A completely buffered body.
     pub fn complete(body: Bytes, reservation: Option<MemoryReservation>) -> Self {
         let buffered = if body.is_empty() { VecDeque::new() } else { VecDeque::from([body]) };
         ResponseBody { buffered, stream: None, _reservation: reservation, request: None }
     }
 
-    /// A body whose beginning is buffered and whose rest is streamed.
+    /// A body of which `buffered` has been read and `body` is streamed.
     pub fn streamed(
         buffered: VecDeque<Bytes>,
         body: Incoming,
         return_connection: ReturnConnection,
         reservation: MemoryReservation,
     ) -> Self {
-        let stall = Box::pin(sleep(STALL_TIMEOUT));
-        let stream = ResponseStream { body, return_connection, metrics: None, on_abort: None, stall };
+        let stall_timer = Box::pin(sleep(STALL_TIMEOUT));
+        let stream = ResponseStream { body, return_connection, metrics: None, on_abort: None, stall_timer };
         ResponseBody { buffered, stream: Some(stream), _reservation: Some(reservation), request: None }
     }
 
@@ -69,7 +71,7 @@
         self.request = Some(request);
     }
 
-    /// Ends the request in the metrics with this body; `on_abort` is called if that breaks off.
+    /// Ends the request in the metrics when this body ends. `on_abort` is called if it breaks off.
     pub fn end_request_with(&mut self, metrics: RequestMetrics, on_abort: impl FnOnce() + 'static) {
         match &mut self.stream {
             None => metrics.end(RequestEnd::Served),
@@ -109,8 +111,8 @@
         let Some(stream) = &mut this.stream else { return Poll::Ready(None) };
         match Pin::new(&mut stream.body).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
-                stream.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
-                // Past the last byte of a known length, or past trailers, nobody polls for more.
+                stream.stall_timer.as_mut().reset(Instant::now() + STALL_TIMEOUT);
+                // Hyper does not poll again after the last byte of a body of known length, or after trailers.
                 if stream.body.is_end_stream() || frame.is_trailers() {
                     this.finish(RequestEnd::Served);
                 }
@@ -124,7 +126,7 @@
                 this.finish(RequestEnd::Served);
                 Poll::Ready(None)
             }
-            Poll::Pending if stream.stall.as_mut().poll(cx).is_ready() => {
+            Poll::Pending if stream.stall_timer.as_mut().poll(cx).is_ready() => {
                 this.finish(RequestEnd::Failed);
                 Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())))
             }
--- a/agent/src/traffic/socket.rs
+++ b/agent/src/traffic/socket.rs
@@ -1,5 +1,5 @@
-//! A TCP connection that the HTTP library reads and writes, and whose owner can peek at it meanwhile and close it without
-//! losing bytes.
+//! A TCP connection that the HTTP library reads and writes. Meanwhile its owner can peek at the input, watch for the
+//! peer's close and close the connection without losing bytes.
 
 use socket2::SockRef;
 use std::io;
@@ -14,45 +14,47 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// A peer that has been sent the end of the stream has this long to end its own side. What it still sends until then is
-/// read and discarded; later bytes reset the connection, by when no bytes that the peer waits for are on their way.
+/// After the agent has shut down its side, the peer has this long to close its own. Bytes that arrive until then are
+/// read and discarded. Later ones reset the connection, but by then none of the bytes that the peer waits for are in
+/// flight.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// What is read and discarded at a time.
+/// The size of the buffer into which discarded bytes are read.
 const DISCARD_CHUNK_BYTES: usize = 4 << 10;
 
-/// One connection; its clones are the same one, which closes with the last.
+/// A connection, shared by its clones and closed when the last of them is dropped.
 #[derive(Clone)]
 pub struct Socket(Rc<TcpStream>);
 
 impl Socket {
-    /// A connection whose small writes go out at once. Delayed they would wait for acknowledgements, and be lost with a
-    /// reset.
+    /// Wraps a stream and sets `TCP_NODELAY`, so that small writes go out at once. Delayed ones would wait for
+    /// acknowledgements, and a reset would lose them.
     pub fn new(stream: TcpStream) -> Self {
-        // Some systems fail this once on a socket just accepted. It is no reason to drop a connection that is good.
+        // On some systems this fails once for a socket that was just accepted, so it is tried again. The connection works
+        // without it, too.
         if stream.set_nodelay(true).is_err() {
             let _ = stream.set_nodelay(true);
         }
         Socket(Rc::new(stream))
     }
 
-    /// Whether anything waits to be read at this very moment: bytes, the end or an error. It calls the system, as the
-    /// runtime may not have been notified yet.
+    /// Whether bytes, the end of the stream or an error can be read now. Asks the kernel, as the runtime may not have
+    /// been notified yet.
     pub fn has_pending_input(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&*self.0).peek(&mut byte);
         !peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Waits until the peer has closed or reset its side, also where bytes that nobody reads yet come before that.
+    /// Waits until the peer has closed or reset the connection, even if unread bytes precede the end of the stream.
     pub async fn wait_for_peer_close(&self) {
-        // Of what may wake this, nothing but the end ever comes: no peer sends urgent data, and bytes alone do not count.
+        // `PRIORITY` is also ready for urgent data, which no peer sends, but not for ordinary bytes.
         while self.0.ready(Interest::PRIORITY).await.is_ok_and(|seen| !seen.is_read_closed()) {
             yield_now().await;
         }
     }
 
-    /// A lingering close: ends the own side, then reads on for [`LINGER_TIMEOUT`] at most. A close over unread bytes would
-    /// reset the connection, and the last answer could be lost with it.
+    /// A lingering close: shuts down the agent's side, then reads and discards input for [`LINGER_TIMEOUT`] at most.
+    /// Closing with unread bytes would reset the connection, and the last response could be lost.
     pub async fn close_lingering(&self) {
         if SockRef::from(&*self.0).shutdown(Shutdown::Write).is_err() {
             return;
@@ -68,7 +70,7 @@
                 }
             }
         };
-        // A peer that does not end its side gets no more time.
+        // On a timeout the connection is closed although the peer has not closed its side.
         let _ = timeout(LINGER_TIMEOUT, discard).await;
     }
 }
@@ -86,7 +88,7 @@
 }
 
 impl Socket {
-    fn poll_transfer(
+    fn poll_write_with(
         &self,
         cx: &mut Context<'_>,
         write: impl Fn(&TcpStream) -> io::Result<usize>,
@@ -103,7 +105,7 @@
 
 impl AsyncWrite for Socket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_transfer(cx, |stream| stream.try_write(buf))
+        self.poll_write_with(cx, |stream| stream.try_write(buf))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -123,11 +125,11 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_transfer(cx, |stream| stream.try_write_vectored(bufs))
+        self.poll_write_with(cx, |stream| stream.try_write_vectored(bufs))
     }
 }
 
-/// Whether a transfer is to be retried: it would have blocked, or a signal interrupted it.
+/// Whether a read or write is to be retried: it would have blocked, or a signal interrupted it.
 fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
