--- a/agent/src/downstream/body_reader.rs
+++ b/agent/src/downstream/body_reader.rs
@@ -1,4 +1,5 @@
-//! Reads the body of a request: a short one completely, and so much of another one that it shows.
+//! Reads request bodies. A body of at most [`MAX_BUFFERED_BODY_BYTES`] is buffered completely; of a longer one only
+//! what it takes to know this is read, and the rest is streamed.
 
 use crate::downstream::errors::RequestError;
 use crate::downstream::lifecycle::Lifecycle;
@@ -14,48 +15,47 @@
 use tokio::sync::AcquireError;
 use tokio::time::{timeout_at, Instant};
 
-/// The part of a client's wait that is left for writing the answer.
+/// The last part of a client's timeout, reserved for writing the response.
 pub const ANSWER_RESERVE: Duration = Duration::from_millis(6);
 
-/// Reads one body.
+/// Reads the body of one request.
 pub struct BodyReader<'a> {
-    /// The memory that it may take.
+    /// The budget from which memory for the body is reserved.
     pub budget: &'a MemoryBudget,
-    /// By when it has to be answered.
+    /// Limits the wait for memory while the process shuts down.
     pub lifecycle: &'a Lifecycle,
-    /// When it has to come.
+    /// When the body times out.
     pub deadline: BodyDeadline,
-    /// Whether the client waits for `100 Continue` before it sends anything.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// How long the client waits for its answer.
-    pub wait: Duration,
+    /// How long the client waits for the response.
+    pub client_timeout: Duration,
 }
 
-/// A body, as far as it is buffered.
+/// A request body that is buffered completely or ready to be streamed.
 pub struct ReceivedBody {
-    /// The body, or its stream.
+    /// The bytes or the stream.
     pub content: Content,
-    /// How long it has waited for memory altogether.
+    /// The total time spent waiting for memory, in which the body was not read.
     pub memory_wait: Duration,
 }
 
-/// Memory for a body.
+/// A memory reservation and the time that it took to get it.
 struct GrantedMemory {
     reservation: MemoryReservation,
-    /// How long the body has waited for it.
     waited: Duration,
 }
 
-/// What a body has shown to be.
+/// The result of buffering a body up to [`MAX_BUFFERED_BODY_BYTES`].
 enum BufferedBody {
-    /// Short, and complete.
+    /// The complete body.
     Complete(Bytes),
-    /// Long; this is its prefix.
+    /// The bytes read so far of a body that exceeds the limit.
     Prefix(Bytes),
 }
 
 impl BodyReader<'_> {
-    /// Reads a body until it is complete or has turned out to be long.
+    /// Reads a body until it is complete or is known to exceed [`MAX_BUFFERED_BODY_BYTES`].
     pub async fn read(mut self, mut body: Incoming) -> Result<ReceivedBody, RequestError> {
         let hint = body.size_hint();
         if hint.lower() > MAX_REQUEST_BODY_BYTES {
@@ -65,9 +65,10 @@
         let mut memory_wait = Duration::ZERO;
         if hint.lower() <= MAX_BUFFERED_BODY_BYTES as u64 {
             let bytes = hint.exact().map_or(MAX_BUFFERED_BODY_BYTES, |length| length as usize);
-            let memory = self.wait_for_memory(self.budget.reserve_request(bytes), self.wait).await?;
+            let memory =
+                self.wait_for_memory(self.budget.reserve_request(bytes), self.client_timeout).await?;
             memory_wait = memory.waited;
-            match self.read_short(&mut body).await? {
+            match self.buffer_up_to_limit(&mut body).await? {
                 BufferedBody::Complete(bytes) => {
                     let content = Content::Buffered { bytes, _reservation: memory.reservation };
                     return Ok(ReceivedBody { content, memory_wait });
@@ -75,8 +76,8 @@
                 BufferedBody::Prefix(bytes) => prefix = bytes,
             }
         }
-        let wait = self.wait.saturating_sub(memory_wait);
-        let memory = self.wait_for_memory(self.budget.reserve_streamed_request(), wait).await?;
+        let remaining_timeout = self.client_timeout.saturating_sub(memory_wait);
+        let memory = self.wait_for_memory(self.budget.reserve_streamed_request(), remaining_timeout).await?;
         memory_wait += memory.waited;
         let stream = RequestBodyStream::new(RequestBodyParts {
             prefix,
@@ -89,7 +90,7 @@
         Ok(ReceivedBody { content: Content::Streamed(stream), memory_wait })
     }
 
-    async fn read_short(&mut self, body: &mut Incoming) -> Result<BufferedBody, BodyError> {
+    async fn buffer_up_to_limit(&mut self, body: &mut Incoming) -> Result<BufferedBody, BodyError> {
         let mut buffered = BytesMut::new();
         while buffered.len() <= MAX_BUFFERED_BODY_BYTES {
             let frame =
@@ -102,14 +103,15 @@
         Ok(BufferedBody::Prefix(buffered.freeze()))
     }
 
-    /// Waits for memory for as long as the client waits and the body has time to come.
+    /// Waits for memory until the body times out, the client's timeout is almost over (less [`ANSWER_RESERVE`]) or the
+    /// process must answer because it shuts down.
     async fn wait_for_memory(
         &self,
         reservation: impl Future<Output = Result<MemoryReservation, AcquireError>>,
-        wait: Duration,
+        remaining_timeout: Duration,
     ) -> Result<GrantedMemory, RequestError> {
         let started = Instant::now();
-        let due = self.deadline.due().min(started + wait.saturating_sub(ANSWER_RESERVE));
+        let due = self.deadline.due().min(started + remaining_timeout.saturating_sub(ANSWER_RESERVE));
         let reservation = tokio::select! {
             biased;
             reservation = timeout_at(due, reservation) => reservation.ok().and_then(Result::ok),
--- a/agent/src/downstream/connection.rs
+++ b/agent/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection: its requests, its timeouts and its end.
+//! Serves one client connection, enforces its timeouts and ends it on shutdown.
 
 use crate::downstream::handler::{IncomingRequest, RequestHandler};
 use crate::downstream::lifecycle::Phase;
@@ -12,10 +12,10 @@
 use std::rc::Rc;
 use tokio::task::yield_now;
 
-/// Answers the requests of a connection until it is to be closed; the caller closes it.
+/// Answers the requests of a connection until it is to be closed. The caller closes it.
 pub async fn serve_connection(handler: Rc<RequestHandler>, socket: &Socket) {
     let mut phases = handler.lifecycle().subscribe();
-    let is_last_request = phases.borrow_and_update().closes_idle();
+    let closes_after_response = phases.borrow_and_update().closes_idle_connections();
     let timer = ConnectionTimer::new();
     let (request_timer, request_socket) = (timer.clone(), socket.clone());
     let service = service_fn(move |request| {
@@ -26,13 +26,14 @@
         async move { Ok::<_, Infallible>(handler.handle(incoming, socket).await) }
     });
     let mut builder = http1::Builder::new();
-    // Hyper's own timeout for a head would count idle time and head together.
-    builder.header_read_timeout(None).keep_alive(!is_last_request).max_buf_size(HTTP_BUFFER_BYTES);
+    // Hyper's own timeout for heads would also count the idle time before a head.
+    builder.header_read_timeout(None).keep_alive(!closes_after_response).max_buf_size(HTTP_BUFFER_BYTES);
     let timed_socket = TimedSocket::new(socket.clone(), timer.clone());
     let mut connection = pin!(builder.serve_connection(timed_socket, service));
     loop {
-        // Whatever has come is read before anything is closed. An error is that the client has disconnected or has sent
-        // malformed bytes; both concern this connection alone.
+        // The connection is polled first, so that input which has arrived is read before a timeout or a change of phase
+        // closes the connection. Its errors are not reported: the client has disconnected or has sent malformed bytes,
+        // which concerns this connection alone.
         tokio::select! {
             biased;
             _ = connection.as_mut() => return,
@@ -40,14 +41,14 @@
                 if timer.is_write_blocked() || !socket.has_pending_input() {
                     return;
                 }
-                // The runtime has not been notified of it yet.
+                // The input has arrived, but the runtime has not been notified of it yet.
                 yield_now().await;
             }
             Ok(()) = phases.changed() => {
                 let phase = *phases.borrow_and_update();
-                if phase.closes_idle() && timer.has_active_request() {
+                if phase.closes_idle_connections() && timer.has_active_request() {
                     connection.as_mut().graceful_shutdown();
-                } else if should_close(phase, &timer, socket) {
+                } else if should_close_idle(phase, &timer, socket) {
                     return;
                 }
             },
@@ -55,9 +56,9 @@
     }
 }
 
-/// Whether a connection without an active request is closed as the process enters a phase. Where it is not, a request
-/// may be on its way here, and its answer says that it is the last.
-fn should_close(phase: Phase, timer: &ConnectionTimer, socket: &Socket) -> bool {
+/// Whether a connection without an active request is closed when the process enters `phase`. If it is not, a request
+/// may be in flight, and its response will carry `Connection: close`.
+fn should_close_idle(phase: Phase, timer: &ConnectionTimer, socket: &Socket) -> bool {
     let is_new = phase == Phase::Draining && timer.awaits_first_request();
-    phase.closes_idle() && !is_new && timer.is_idle() && !socket.has_pending_input()
+    phase.closes_idle_connections() && !is_new && timer.is_idle() && !socket.has_pending_input()
 }
--- a/agent/src/downstream/errors.rs
+++ b/agent/src/downstream/errors.rs
@@ -1,45 +1,45 @@
-//! Why a request is rejected before the balancer decides about it. The texts are what its client gets.
+//! Errors that reject a request before the balancer decides about it. Their texts are sent to the client.
 
 use crate::traffic::request_body::BodyError;
 use hyper::StatusCode;
 
-/// What is wrong with a request, or why its body cannot be read.
+/// Why a request is invalid or its body cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The first segment of the path is no class of the settings.
+    /// The first segment of the path is not a class of the settings.
     #[error("no such class of request")]
     UnknownClass,
-    /// `X-Priority-Class` is missing or is another class than the path's.
+    /// `X-Priority-Class` is missing or differs from the class in the path.
     #[error("X-Priority-Class must be the first part of the path")]
     ClassMismatch,
     /// `X-Request-ID` is missing or empty.
     #[error("X-Request-ID is missing")]
     MissingRequestId,
-    /// The settings have tenants, and `X-Tenant-Id` is none of them.
+    /// The settings have tenants, and `X-Tenant-Id` is missing or names none of them.
     #[error("X-Tenant-Id names no tenant")]
     UnknownTenant,
-    /// `X-Timeout` is missing, malformed, zero or too long.
+    /// `X-Timeout` is missing, malformed, zero or above the maximum.
     #[error("X-Timeout must be a time such as 480m or 900u")]
     InvalidTimeout,
-    /// The class has other methods, given as the value of `Allow`.
+    /// The class does not allow the method of the request.
     #[error("this class has another method")]
     MethodNotAllowed {
-        /// The methods of the class.
+        /// The methods that the class allows, as the value of `Allow`.
         allowed: &'static str,
     },
-    /// The class is deduplicated, and the request has no key for that.
+    /// The class is deduplicated, and `Idempotency-Key` is missing or empty.
     #[error("this class needs an Idempotency-Key")]
     MissingIdempotencyKey,
     /// The body cannot be read.
     #[error(transparent)]
     Body(#[from] BodyError),
-    /// The memory budget had no capacity for the body in time.
+    /// The memory budget had no capacity for the body before the request had to be answered or the body timed out.
     #[error("no room for the body")]
     NoBodyMemory,
 }
 
 impl RequestError {
-    /// The status of its response.
+    /// The HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             RequestError::UnknownClass => StatusCode::NOT_FOUND,
--- a/agent/src/downstream/handler.rs
+++ b/agent/src/downstream/handler.rs
@@ -1,4 +1,4 @@
-//! Handles one request: validates it, submits it to the balancer and waits for the answer.
+//! Handles requests: validates each, submits it to the balancer and waits for the answer.
 
 use crate::downstream::body_reader::{BodyReader, ANSWER_RESERVE};
 use crate::downstream::errors::RequestError;
@@ -23,16 +23,16 @@
 use tokio::sync::Semaphore;
 use tokio::time::{sleep_until, Instant};
 
-/// The balancer ends each request by its deadline; should it not, the agent does, this much later.
+/// The balancer ends each request by its deadline. If it does not, the agent does so this long after the deadline.
 const OVERDUE_GRACE: Duration = Duration::from_millis(4);
 
 /// A request whose head is complete.
 pub struct IncomingRequest {
-    /// Its head, and its body as it comes.
+    /// The head, and the body, which may still be arriving.
     pub request: Request<Incoming>,
-    /// When its body has to come, and what ends with its answer.
+    /// The timing of the request.
     pub started: StartedRequest,
-    /// Whether it is the first of its connection.
+    /// Whether it is the first request of its connection.
     pub is_first: bool,
 }
 
@@ -40,11 +40,11 @@
 pub struct RequestHandler {
     driver: Rc<Driver>,
     lifecycle: Lifecycle,
-    /// The connections that may still be accepted.
+    /// One permit for each connection that may still be accepted.
     connection_slots: Arc<Semaphore>,
 }
 
-/// Notifies the balancer if a request ends without having been given its answer.
+/// Notifies the balancer if it is dropped before the request has got its answer.
 struct PendingRequest<'a> {
     driver: &'a Rc<Driver>,
     id: RequestId,
@@ -57,31 +57,32 @@
 }
 
 impl RequestHandler {
-    /// Submits requests to `driver`.
+    /// A handler that submits requests to `driver`.
     pub fn new(driver: Rc<Driver>, connection_slots: Arc<Semaphore>) -> Self {
         RequestHandler { driver, lifecycle: Lifecycle::new(), connection_slots }
     }
 
-    /// The phase of the process.
+    /// The lifecycle of the process.
     pub fn lifecycle(&self) -> &Lifecycle {
         &self.lifecycle
     }
 
-    /// Answers a request.
+    /// Answers a request, with `Connection: close` if the connection is to be closed after the response.
     pub async fn handle(&self, incoming: IncomingRequest, socket: Socket) -> Response<ResponseBody> {
         let IncomingRequest { request, started, is_first } = incoming;
         let mut response = tokio::select! {
             biased;
             response = self.respond(request, started.body_deadline) => response,
-            // Hyper does not look for the end of a connection while bytes come before it. Nobody reads this.
+            // Hyper does not notice that the client has closed while unread bytes precede the end of the stream. Nobody
+            // reads this response.
             () = socket.wait_for_peer_close() => text_response(StatusCode::BAD_REQUEST, "the client has left"),
         };
         response.body_mut().attach_request(started.active);
-        // When all slots are used, new clients wait in the system's queue, unread while their time goes by, and the terms
-        // let no idle connection be closed for 2 s. So a connection ends with its first answer then; one that is used again
-        // stays.
-        let gives_up_slot = is_first && self.connection_slots.available_permits() == 0;
-        if gives_up_slot || !self.lifecycle.is_running() {
+        // While all slots are used, new connections wait in the kernel's accept queue, where their requests stay unread
+        // while their timeouts run, and the service terms do not allow an idle connection to be closed before 2 s. So a
+        // connection is closed after its first response then; one that has been used again stays open.
+        let closes_to_free_slot = is_first && self.connection_slots.available_permits() == 0;
+        if closes_to_free_slot || !self.lifecycle.is_running() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
@@ -96,7 +97,7 @@
             return self.readiness_response();
         }
         let request_id = request.headers().get("x-request-id").cloned();
-        match self.read(request, body_deadline).await {
+        match self.read_request(request, body_deadline).await {
             Ok(arrival) => self.wait_for_answer(arrival).await,
             Err(error) => {
                 let request_id = request_id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or_default();
@@ -106,11 +107,12 @@
         }
     }
 
-    /// A deployment may have a class `ready`, whose requests say so.
+    /// Whether a request is a readiness check. The settings may also have a class `ready`, whose requests name it in
+    /// `X-Priority-Class`.
     fn is_readiness_check(&self, request: &Request<Incoming>) -> bool {
-        let is_of_class = header_text(request.headers(), "x-priority-class") == Some("ready")
+        let is_of_ready_class = header_text(request.headers(), "x-priority-class") == Some("ready")
             && self.driver.names.classes.iter().any(|name| name == "ready");
-        request.uri().path() == "/ready" && !is_of_class
+        request.uri().path() == "/ready" && !is_of_ready_class
     }
 
     fn readiness_response(&self) -> Response<ResponseBody> {
@@ -121,8 +123,8 @@
         }
     }
 
-    /// Reads a request completely, or until its body has turned out to be long.
-    async fn read(
+    /// Validates a request and reads its body, completely or until it is known to be too long to be buffered.
+    async fn read_request(
         &self,
         request: Request<Incoming>,
         body_deadline: BodyDeadline,
@@ -134,20 +136,21 @@
             lifecycle: &self.lifecycle,
             deadline: body_deadline,
             expects_continue: parts.headers.contains_key(EXPECT),
-            wait: head.wait,
+            client_timeout: head.client_timeout,
         };
         let body = reader.read(body).await?;
-        // While the body waited for memory its client may have sent all of it, and its time went by.
+        // The client may have sent the complete body while the agent waited for memory, so its timeout may have started
+        // then.
         let arrived_at = Instant::now() - body.memory_wait;
         Ok(Arrival {
             class: head.class,
             tenant: head.tenant,
-            key: head.key,
+            key: head.affinity_key,
             cost_hint: head.cost_hint,
             repeat: head.is_retry,
             name: head.request_id,
             arrived_at,
-            deadline: self.deadline(arrived_at, head.wait),
+            deadline: self.deadline(arrived_at, head.client_timeout),
             headers: forwarded_headers(&parts.headers),
             method: parts.method,
             uri: parts.uri,
@@ -155,30 +158,33 @@
         })
     }
 
-    /// When the answer of a request that arrived at `arrived_at` must be on its way.
-    fn deadline(&self, arrived_at: Instant, wait: Duration) -> Instant {
-        let reserve = ANSWER_RESERVE.min(wait / 4);
-        let wait = match self.lifecycle.answer_by() {
-            Some(answer_by) => wait.min(answer_by.saturating_duration_since(arrived_at)).max(reserve),
-            None => wait,
+    /// When the balancer must have answered a request that arrived at `arrived_at`. The time left until the client's
+    /// timeout and until the process must have answered is for writing the response.
+    fn deadline(&self, arrived_at: Instant, client_timeout: Duration) -> Instant {
+        let reserve = ANSWER_RESERVE.min(client_timeout / 4);
+        let timeout = match self.lifecycle.answer_by() {
+            Some(answer_by) => {
+                client_timeout.min(answer_by.saturating_duration_since(arrived_at)).max(reserve)
+            }
+            None => client_timeout,
         };
-        arrived_at + (wait - reserve)
+        arrived_at + (timeout - reserve)
     }
 
     async fn wait_for_answer(&self, arrival: Arrival) -> Response<ResponseBody> {
-        let (deadline, wait, body) = (arrival.deadline, arrival.wait(), arrival.intake().cloned());
+        let (deadline, timeout, body) = (arrival.deadline, arrival.wait(), arrival.intake().cloned());
         let (id, answer) = self.driver.submit(arrival);
-        // When the client disconnects, hyper drops this future, and the guard notifies the balancer.
+        // When the client disconnects, hyper drops this future, and this guard notifies the balancer.
         let _pending = PendingRequest { driver: &self.driver, id };
         let response = tokio::select! {
-            // A body that breaks off ends its attempt as well, and its client gets the cause.
+            // A body that fails also ends its attempt. Polled first, so that the client gets the cause of the failure.
             biased;
             error = wait_for_body_error(body.as_deref()) => return error_response(error.into()),
             answer = answer => answer.map_or_else(
                 |_| text_response(StatusCode::BAD_GATEWAY, "no answer was decided"),
                 answer_response,
             ),
-            () = wait_until_overdue(body.as_deref(), deadline, wait) => {
+            () = wait_until_overdue(body.as_deref(), deadline, timeout) => {
                 text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
             }
             () = self.lifecycle.wait_until_answer_due(body.as_deref()) => {
@@ -199,11 +205,12 @@
     }
 }
 
-/// Waits until a request should have been answered: by `deadline`, or if its body is long, `wait` after its last byte.
-async fn wait_until_overdue(body: Option<&RequestBodyStream>, deadline: Instant, wait: Duration) {
+/// Waits until a request should have been answered: until `deadline`, or `timeout` after the last byte of a streamed
+/// body, and then for [`OVERDUE_GRACE`].
+async fn wait_until_overdue(body: Option<&RequestBodyStream>, deadline: Instant, timeout: Duration) {
     match body {
         None => sleep_until(deadline + OVERDUE_GRACE).await,
-        Some(body) => sleep_until(body.wait_until_complete().await + wait + OVERDUE_GRACE).await,
+        Some(body) => sleep_until(body.wait_until_complete().await + timeout + OVERDUE_GRACE).await,
     }
     yield_turns(2 * ANSWER_TURNS).await;
 }
--- a/agent/src/downstream/lifecycle.rs
+++ b/agent/src/downstream/lifecycle.rs
@@ -1,49 +1,50 @@
-//! Whether the process goes on serving its connections, and by when it must have answered.
+//! The lifecycle of the process: whether it keeps serving its connections, and by when it must have answered.
 
 use crate::traffic::request_body::RequestBodyStream;
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// A phase of the process's life.
+/// A phase of the process lifecycle.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It serves.
+    /// Connections are accepted and served.
     Running,
-    /// It shuts down. Idle connections are closed, and a new one has its first request answered.
+    /// The process shuts down. Idle connections are closed; a new connection is closed after its first response.
     Draining,
-    /// It accepts no connections any more, and closes those that have not sent anything either.
+    /// No more connections are accepted, and connections that have not sent anything are closed, too.
     Closing,
-    /// Another process has taken over. A connection that is idle here may have a request on its way, which a close would
-    /// reject unread: each connection's next one is answered, and only then the connection is closed.
+    /// Another process accepts the connections. A request may be in flight on an idle connection of this process, and
+    /// closing the connection would lose it: each connection is closed only after its next request is answered.
     HandedOver,
 }
 
 impl Phase {
-    /// Whether idle connections are closed.
-    pub fn closes_idle(self) -> bool {
+    /// Whether idle connections are closed in this phase.
+    pub fn closes_idle_connections(self) -> bool {
         matches!(self, Phase::Draining | Phase::Closing)
     }
 }
 
-/// The phase of the process, which its connections follow.
+/// The current phase of the process and the time limit of its shutdown.
 pub struct Lifecycle {
     phase: watch::Sender<Phase>,
-    /// Set once the process shuts down: every request has to be answered by then, whatever its client would wait.
+    /// Every request must be answered by then, even if its client's timeout is longer; `None` until the process shuts
+    /// down.
     answer_by: watch::Sender<Option<Instant>>,
 }
 
 impl Lifecycle {
-    /// A process that is running.
+    /// The lifecycle of a running process.
     pub fn new() -> Self {
         Lifecycle { phase: watch::Sender::new(Phase::Running), answer_by: watch::Sender::new(None) }
     }
 
-    /// Whether it is running.
+    /// Whether the phase is [`Phase::Running`].
     pub fn is_running(&self) -> bool {
         *self.phase.borrow() == Phase::Running
     }
 
-    /// The phase, and its changes.
+    /// Subscribes to the phase and its changes.
     pub fn subscribe(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
@@ -53,18 +54,18 @@
         self.phase.send_replace(phase);
     }
 
-    /// Every request has to be answered by then.
+    /// Sets the time by which every request must be answered.
     pub fn set_answer_by(&self, answer_by: Instant) {
         self.answer_by.send_replace(Some(answer_by));
     }
 
-    /// By when every request has to be answered, once the process shuts down.
+    /// By when every request must be answered; `None` until the process shuts down.
     pub fn answer_by(&self) -> Option<Instant> {
         *self.answer_by.borrow()
     }
 
-    /// Waits until a request has to be answered because the process may be killed soon. One whose body is still coming
-    /// is not owed an answer yet.
+    /// Waits until a request must be answered because the process may be killed soon after. Waits forever if `body` is
+    /// still arriving at that time, as such a request need not be answered yet.
     pub async fn wait_until_answer_due(&self, body: Option<&RequestBodyStream>) {
         let mut answer_by = self.answer_by.subscribe();
         let due = answer_by.wait_for(Option::is_some).await.ok().and_then(|due| *due);
--- a/agent/src/downstream/mod.rs
+++ b/agent/src/downstream/mod.rs
@@ -1,4 +1,5 @@
-//! What the application beside the agent connects to: its connections, its requests and their responses.
+//! The side of the agent that faces clients: serves the connections of the application beside the agent, validates its
+//! requests and builds their responses.
 
 mod body_reader;
 mod connection;
--- a/agent/src/downstream/request_head.rs
+++ b/agent/src/downstream/request_head.rs
@@ -1,4 +1,4 @@
-//! Reads and validates the head of a request.
+//! Parses and validates the head of a request.
 
 use crate::downstream::errors::RequestError;
 use balancer::{ClassId, Idempotency, KeyId, Span, TenantId};
@@ -8,55 +8,55 @@
 use hyper::{Method, Uri};
 use std::time::Duration;
 
-/// The longest wait that a request may have.
-const MAX_WAIT: Duration = Duration::from_secs(600);
+/// The largest valid `X-Timeout`.
+const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// What the head of a valid request says.
+/// The contents of a valid head.
 pub struct RequestHead {
-    /// Its class, the first segment of the path.
+    /// The class, named by the first segment of the path.
     pub class: ClassId,
-    /// Its tenant, if the settings have tenants.
+    /// The tenant, if the settings have tenants.
     pub tenant: Option<TenantId>,
-    /// The application's name for it.
+    /// The value of `X-Request-ID`, by which the application identifies the request.
     pub request_id: String,
-    /// How long its client waits.
-    pub wait: Duration,
-    /// What it is about, for affinity.
-    pub key: Option<KeyId>,
-    /// A guess at its work.
+    /// How long the client waits for the response.
+    pub client_timeout: Duration,
+    /// The affinity key: the hash of the query parameter `key`.
+    pub affinity_key: Option<KeyId>,
+    /// The client's estimate of the work, if it has sent a valid one.
     pub cost_hint: Option<Span>,
-    /// The client says that it is a retry.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
 }
 
 impl RequestHead {
-    /// Validates a head against the names of the settings and the idempotency of their classes.
-    pub fn parse(head: &Parts, names: &Names, classes: &[Idempotency]) -> Result<Self, RequestError> {
-        let class = class_of(head, names)?;
+    /// Validates a head against the settings: the names of classes and tenants, and the idempotency of each class.
+    pub fn parse(head: &Parts, names: &Names, idempotency: &[Idempotency]) -> Result<Self, RequestError> {
+        let class = parse_class(head, names)?;
         let request_id = header_text(&head.headers, "x-request-id").filter(|id| !id.is_empty());
         let request_id = request_id.ok_or(RequestError::MissingRequestId)?.to_owned();
-        let tenant = tenant_of(&head.headers, names)?;
-        let wait = header_text(&head.headers, "x-timeout").and_then(parse_wait);
-        let wait = wait.ok_or(RequestError::InvalidTimeout)?;
-        check_method(head, classes[class.0])?;
+        let tenant = parse_tenant(&head.headers, names)?;
+        let client_timeout = header_text(&head.headers, "x-timeout").and_then(parse_timeout);
+        let client_timeout = client_timeout.ok_or(RequestError::InvalidTimeout)?;
+        check_method(head, idempotency[class.0])?;
         Ok(RequestHead {
             class,
             tenant,
             request_id,
-            wait,
-            key: affinity_key(&head.uri),
+            client_timeout,
+            affinity_key: parse_affinity_key(&head.uri),
             cost_hint: cost_hint(&head.headers),
             is_retry: header_text(&head.headers, "x-retried") == Some("1"),
         })
     }
 }
 
-/// The text of a header, if it has one.
+/// The value of a header, if it is present and consists of visible ASCII characters.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-fn class_of(head: &Parts, names: &Names) -> Result<ClassId, RequestError> {
+fn parse_class(head: &Parts, names: &Names) -> Result<ClassId, RequestError> {
     let first_segment = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
     let class = names.classes.iter().position(|name| name == first_segment);
     let class = class.ok_or(RequestError::UnknownClass)?;
@@ -66,7 +66,7 @@
     Ok(ClassId(class))
 }
 
-fn tenant_of(headers: &HeaderMap, names: &Names) -> Result<Option<TenantId>, RequestError> {
+fn parse_tenant(headers: &HeaderMap, names: &Names) -> Result<Option<TenantId>, RequestError> {
     if names.tenants.is_empty() {
         return Ok(None);
     }
@@ -75,7 +75,8 @@
     index.map(|index| Some(TenantId(index))).ok_or(RequestError::UnknownTenant)
 }
 
-/// Idempotent classes are read, the others are written, those that are deduplicated with a key.
+/// Checks that the class allows the method, `GET` or `HEAD` if it is idempotent and `POST` otherwise, and that a
+/// request of a deduplicated class has an idempotency key.
 fn check_method(head: &Parts, idempotency: Idempotency) -> Result<(), RequestError> {
     let is_idempotent = idempotency == Idempotency::Idempotent;
     let methods: &[Method] = if is_idempotent { &[Method::GET, Method::HEAD] } else { &[Method::POST] };
@@ -90,19 +91,19 @@
     Ok(())
 }
 
-fn affinity_key(uri: &Uri) -> Option<KeyId> {
+fn parse_affinity_key(uri: &Uri) -> Option<KeyId> {
     let query = uri.query().unwrap_or_default();
     query.split('&').find_map(|pair| pair.strip_prefix("key=")).map(|key| KeyId(fnv1a(key)))
 }
 
-/// `X-Cost` in microseconds; what is no positive number says nothing.
+/// Parses `X-Cost`, in microseconds. A value that is not a finite positive number is ignored.
 fn cost_hint(headers: &HeaderMap) -> Option<Span> {
     let micros = header_text(headers, "x-cost")?.parse::<f64>().ok()?;
     (micros > 0.0 && micros.is_finite()).then(|| Span::from_ms(micros / 1e3))
 }
 
-/// Reads a wait such as `480m` (milliseconds) or `900u` (microseconds), of [`MAX_WAIT`] at most.
-fn parse_wait(text: &str) -> Option<Duration> {
+/// Parses a timeout such as `480m` (milliseconds) or `900u` (microseconds) of at most [`MAX_CLIENT_TIMEOUT`].
+fn parse_timeout(text: &str) -> Option<Duration> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let micros_per_unit = match unit {
         "m" => 1000.0,
@@ -113,8 +114,8 @@
         return None;
     }
     let micros = digits.parse::<f64>().ok()? * micros_per_unit;
-    let wait = Duration::try_from_secs_f64(micros / 1e6).ok()?;
-    (!wait.is_zero() && wait <= MAX_WAIT).then_some(wait)
+    let timeout = Duration::try_from_secs_f64(micros / 1e6).ok()?;
+    (!timeout.is_zero() && timeout <= MAX_CLIENT_TIMEOUT).then_some(timeout)
 }
 
 #[cfg(test)]
--- a/agent/src/downstream/responses.rs
+++ b/agent/src/downstream/responses.rs
@@ -1,4 +1,4 @@
-//! Builds the responses that clients get.
+//! Builds the responses to clients.
 
 use crate::downstream::errors::RequestError;
 use crate::driver::requests::Answer;
@@ -8,7 +8,7 @@
 use hyper::header::{HeaderValue, ALLOW, CONTENT_LENGTH, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// The response that the balancer has decided on.
+/// The response for an answer that the balancer has decided on.
 pub fn answer_response(answer: Answer) -> Response<ResponseBody> {
     match answer {
         Answer::Served(served) => {
@@ -29,6 +29,7 @@
     }
 }
 
+/// The value of `Retry-After`: seconds with three decimals.
 fn retry_after_seconds(span: Span) -> Option<HeaderValue> {
     HeaderValue::from_str(&format!("{:.3}", span.as_ms() / 1e3)).ok()
 }
@@ -42,7 +43,7 @@
     response
 }
 
-/// A response with one line of text.
+/// A plain-text response whose body is `text` and a line feed.
 pub fn text_response(status: StatusCode, text: &str) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::complete(format!("{text}\n").into(), None));
     *response.status_mut() = status;
--- a/agent/src/downstream/server.rs
+++ b/agent/src/downstream/server.rs
@@ -1,4 +1,4 @@
-//! The listening side: accepts connections, each with a slot, and closes them as the process shuts down.
+//! Accepts client connections, as many as there are slots, and closes them when the process shuts down.
 
 use crate::downstream::connection::serve_connection;
 use crate::downstream::handler::RequestHandler;
@@ -17,10 +17,10 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{sleep, Instant};
 
-/// Pause after an accept that failed for more than one connection, or descriptors that have run out would make the loop
-/// spin.
+/// The pause after an `accept` that failed for another reason than the connection itself: without it the accept loop
+/// would busy-wait while there are no free descriptors.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// After SIGTERM new connections go on coming for a while; each is still accepted.
+/// New connections keep arriving for a while after SIGTERM. They are accepted for this long.
 pub const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(650);
 
 /// Accepts connections and serves them.
@@ -28,11 +28,12 @@
     driver: Rc<Driver>,
     handler: Rc<RequestHandler>,
     open_connections: Cell<usize>,
+    /// One permit for each connection that may still be accepted.
     connection_slots: Arc<Semaphore>,
     lingering: LingeringCloses,
 }
 
-/// One of the connections that the server may have.
+/// A permit for one of the connections that the server may have open.
 type ConnectionSlot = OwnedSemaphorePermit;
 
 /// Counts a connection as open until it is dropped.
@@ -52,7 +53,7 @@
 }
 
 impl Server {
-    /// Serves at most `max_connections` at a time.
+    /// A server with at most `max_connections` open connections.
     pub fn new(driver: Rc<Driver>, max_connections: usize) -> Rc<Self> {
         let connection_slots = Arc::new(Semaphore::new(max_connections));
         Rc::new(Server {
@@ -64,7 +65,8 @@
         })
     }
 
-    /// Accepts connections until it is dropped, or until the process enters [`Phase::Closing`].
+    /// Accepts connections until the process enters [`Phase::Closing`], then those that still wait in the accept queue.
+    /// Dropping the future stops it at any time.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         self.driver.accepts.set(true);
         let mut phases = self.handler.lifecycle().subscribe();
@@ -85,8 +87,9 @@
         }
     }
 
-    /// Accepts what waits in the system's queue, which would be reset with the listener. It calls the system, as the
-    /// runtime may not have been notified of all yet. How long a shortage is waited out is up to the caller.
+    /// Accepts the connections in the kernel's accept queue, which would be reset when the listener is closed. It calls
+    /// accept(2) directly, as the runtime may not have been notified of all of them yet. A lack of descriptors or
+    /// memory is retried without a limit, so the caller sets the timeout.
     async fn accept_backlog(self: &Rc<Self>, listener: &TcpListener) {
         while let Some(slot) = self.acquire_slot().await {
             match SockRef::from(listener).accept() {
@@ -99,13 +102,14 @@
                 }
                 Err(error) if is_connection_error(&error) => {}
                 Err(error) if is_shortage(&error) => sleep(ACCEPT_RETRY_INTERVAL).await,
-                // The queue is empty, or there is none any more.
+                // The queue is empty, or the listener cannot be used any more.
                 Err(_) => return,
             }
         }
     }
 
-    /// Waits for a slot for one more connection. While all are used, lingering closes are aborted, one after the other.
+    /// Waits for a slot for one more connection. While all slots are used, lingering closes are aborted one by one, the
+    /// oldest first.
     async fn acquire_slot(&self) -> Option<ConnectionSlot> {
         let mut slot = pin!(self.connection_slots.clone().acquire_owned());
         loop {
@@ -121,30 +125,31 @@
         tokio::task::spawn_local(self.clone().serve_until_closed(stream, slot));
     }
 
-    /// Says `Connection: close` from now on and closes idle connections. All is answered by `answer_by`.
+    /// Closes idle connections. The others are closed after a response with `Connection: close`, which every response
+    /// carries from now on. Every request is answered by `answer_by`.
     pub fn drain(&self, answer_by: Instant) {
         self.handler.lifecycle().set_answer_by(answer_by);
-        self.leave_running(Phase::Draining);
+        self.enter_phase(Phase::Draining);
     }
 
-    /// Accepts no more connections, and closes those from which nothing has come.
+    /// Stops accepting connections and closes those that have not sent anything.
     pub fn close(&self) {
-        self.leave_running(Phase::Closing);
+        self.enter_phase(Phase::Closing);
     }
 
-    /// Answers what is open and the next request of each connection, as another process accepts the new ones. All is
+    /// Closes each connection after its next response, while another process accepts new connections. Every request is
     /// answered by `answer_by`.
     pub fn hand_over(&self, answer_by: Instant) {
         self.handler.lifecycle().set_answer_by(answer_by);
-        self.leave_running(Phase::HandedOver);
+        self.enter_phase(Phase::HandedOver);
     }
 
-    fn leave_running(&self, phase: Phase) {
+    fn enter_phase(&self, phase: Phase) {
         self.driver.accepts.set(false);
         self.handler.lifecycle().enter(phase);
     }
 
-    /// Whether any connection is open.
+    /// Whether any connection is open, including lingering ones.
     pub fn has_open_connections(&self) -> bool {
         self.open_connections.get() > 0
     }
--- a/agent/src/traffic/socket.rs
+++ b/agent/src/traffic/socket.rs
@@ -29,8 +29,8 @@
     /// Wraps a stream and sets `TCP_NODELAY`, so that small writes go out at once. Delayed ones would wait for
     /// acknowledgements, and a reset would lose them.
     pub fn new(stream: TcpStream) -> Self {
-        // On some systems this fails once for a socket that was just accepted, so it is tried again. The connection works
-        // without it, too.
+        // On some systems this fails once for a socket that was just accepted, so it is tried again. The connection
+        // works without it, too.
         if stream.set_nodelay(true).is_err() {
             let _ = stream.set_nodelay(true);
         }
