--- a/agent/src/downstream/request_head.rs
+++ b/agent/src/downstream/request_head.rs
@@ -31,14 +31,18 @@
 
 impl RequestHead {
     /// Validates a head against the settings: the names of classes and tenants, and the idempotency of each class.
-    pub fn parse(head: &Parts, names: &Names, idempotency: &[Idempotency]) -> Result<Self, RequestError> {
+    pub fn parse(
+        head: &Parts,
+        names: &Names,
+        idempotency_by_class: &[Idempotency],
+    ) -> Result<Self, RequestError> {
         let class = parse_class(head, names)?;
         let request_id = header_text(&head.headers, "x-request-id").filter(|id| !id.is_empty());
         let request_id = request_id.ok_or(RequestError::MissingRequestId)?.to_owned();
         let tenant = parse_tenant(&head.headers, names)?;
         let client_timeout = header_text(&head.headers, "x-timeout").and_then(parse_timeout);
         let client_timeout = client_timeout.ok_or(RequestError::InvalidTimeout)?;
-        check_method(head, idempotency[class.0])?;
+        check_method(head, idempotency_by_class[class.0])?;
         Ok(RequestHead {
             class,
             tenant,
--- a/agent/src/traffic/socket/tests.rs
+++ b/agent/src/traffic/socket/tests.rs
@@ -3,20 +3,20 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-/// A client that disconnects behind unread bytes is known to have done so at once: past 0.1 s nothing may start for it any more. The
-/// clock is the test's, and stands while anything is under way.
+/// A client's disconnect must be detected at once even if unread bytes precede it: the agent must start nothing for the
+/// client later than 0.1 s after it. Runs on tokio's paused clock, which stands still while any task is running.
 #[tokio::test(start_paused = true)]
-async fn an_end_behind_unread_bytes_is_seen_without_delay() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let mut client = std::net::TcpStream::connect(address).expect("a connection");
-    let socket = Socket::new(listener.accept().await.expect("a connection").0);
-    client.write_all(b"GET /read HTTP/1.1\r\n").expect("sent");
-    let stays = timeout(Duration::from_secs(1), socket.wait_for_peer_close()).await;
-    assert!(stays.is_err(), "bytes alone are no end");
+async fn a_peer_close_behind_unread_bytes_is_detected_without_delay() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a free port");
+    let address = listener.local_addr().expect("get the local address");
+    let mut client = std::net::TcpStream::connect(address).expect("connect");
+    let socket = Socket::new(listener.accept().await.expect("accept the connection").0);
+    client.write_all(b"GET /read HTTP/1.1\r\n").expect("send a part of a request");
+    let closed = timeout(Duration::from_secs(1), socket.wait_for_peer_close()).await;
+    assert!(closed.is_err(), "bytes alone were taken for a close");
     let before = Instant::now();
     drop(client);
     socket.wait_for_peer_close().await;
-    assert!(socket.has_pending_input(), "the bytes are still there");
+    assert!(socket.has_pending_input(), "the bytes were lost");
     assert!(before.elapsed() < Duration::from_millis(100), "{:?}", before.elapsed());
 }
