--- a/agent/src/downstream/request_head.rs
+++ b/agent/src/downstream/request_head.rs
@@ -1,7 +1,7 @@
 //! Parses and validates the head of a request.
 
 use crate::downstream::errors::RequestError;
-use balancer::{ClassId, Idempotency, KeyId, Span, TenantId};
+use balancer::{AffinityKey, ClassId, Idempotency, Span, TenantId};
 use balancer_settings::{fnv1a, Names};
 use hyper::header::HeaderMap;
 use hyper::http::request::Parts;
@@ -22,7 +22,7 @@
     /// How long the client waits for the response.
     pub client_timeout: Duration,
     /// The affinity key: the hash of the query parameter `key`.
-    pub affinity_key: Option<KeyId>,
+    pub affinity_key: Option<AffinityKey>,
     /// The client's estimate of the work, if it has sent a valid one.
     pub cost_hint: Option<Span>,
     /// Whether the client marks the request as a retry.
@@ -95,9 +95,9 @@
     Ok(())
 }
 
-fn parse_affinity_key(uri: &Uri) -> Option<KeyId> {
+fn parse_affinity_key(uri: &Uri) -> Option<AffinityKey> {
     let query = uri.query().unwrap_or_default();
-    query.split('&').find_map(|pair| pair.strip_prefix("key=")).map(|key| KeyId(fnv1a(key)))
+    query.split('&').find_map(|pair| pair.strip_prefix("key=")).map(|key| AffinityKey(fnv1a(key)))
 }
 
 /// Parses `X-Cost`, in microseconds. A value that is not a finite positive number is ignored.
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -77,10 +77,10 @@
                     pending.history.record_first_byte(attempt);
                 }
             }
-            Event::Outcome { request, attempt, outcome, elapsed, report, closed } => {
+            Event::Outcome { request, attempt, outcome, elapsed, report, request_finished } => {
                 let key = AttemptKey { request, attempt: attempt.0 };
                 let end = AttemptEnd { now, outcome, elapsed };
-                self.handle_outcome(key, end, report.as_deref(), closed, actions);
+                self.handle_outcome(key, end, report.as_deref(), request_finished, actions);
             }
             Event::BodyComplete { request, time_left } => self.complete_upload(now, request, time_left),
             Event::BodyConsumed { request } => {
@@ -132,7 +132,7 @@
         let pending = PendingRequest { request, limits, is_over_share, history: AttemptHistory::default() };
         let is_hopeless = self.is_hopeless(now, &pending);
         self.pending.insert(pending);
-        let (level, is_sparse) = (self.fleet.level.value(), self.fleet.is_sparse());
+        let (level, is_sparse) = (self.fleet.admission_level.value(), self.fleet.is_sparse());
         self.fleet.outliers.record_request();
         self.retry_budget.earn(level, is_sparse);
         // With sparse traffic the limits of servers bind nothing: a random part is admitted, by the admission level.
