--- a/agent/src/downstream/server.rs
+++ b/agent/src/downstream/server.rs
@@ -4,7 +4,7 @@
 use crate::downstream::handler::RequestHandler;
 use crate::downstream::lifecycle::Phase;
 use crate::driver::Driver;
-use crate::traffic::errors::{is_connection_error, is_shortage};
+use crate::traffic::errors::{is_connection_error, is_resource_exhaustion};
 use crate::traffic::lingering::LingeringCloses;
 use crate::traffic::socket::Socket;
 use socket2::SockRef;
@@ -21,7 +21,7 @@
 /// would busy-wait while there are no free descriptors.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// New connections keep arriving for a while after SIGTERM. They are accepted for this long.
-pub const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(650);
+pub const SIGTERM_ACCEPT_PERIOD: Duration = Duration::from_millis(650);
 
 /// Accepts connections and serves them.
 pub struct Server {
@@ -101,7 +101,7 @@
                     }
                 }
                 Err(error) if is_connection_error(&error) => {}
-                Err(error) if is_shortage(&error) => sleep(ACCEPT_RETRY_INTERVAL).await,
+                Err(error) if is_resource_exhaustion(&error) => sleep(ACCEPT_RETRY_INTERVAL).await,
                 // The queue is empty, or the listener cannot be used any more.
                 Err(_) => return,
             }
--- a/agent/src/process.rs
+++ b/agent/src/process.rs
@@ -182,7 +182,7 @@
             self.server.hand_over(answer_by);
         } else {
             self.server.drain(answer_by);
-            sleep(server::ACCEPT_AFTER_SIGTERM).await;
+            sleep(server::SIGTERM_ACCEPT_PERIOD).await;
             self.server.close();
             // Connections that still wait are accepted as soon as there are descriptors.
             let _ = timeout_at(give_up_at, self.accept_loop).await;
--- a/agent/src/process/shutdown.rs
+++ b/agent/src/process/shutdown.rs
@@ -1,6 +1,6 @@
 //! How long a process has after SIGTERM, by the deadlines of its requests.
 
-use crate::downstream::server::ACCEPT_AFTER_SIGTERM;
+use crate::downstream::server::SIGTERM_ACCEPT_PERIOD;
 use balancer::Settings;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -41,6 +41,6 @@
 
     /// When bodies that are still in transfer are cut, as they may never end.
     pub fn give_up_at(&self, terminated_at: Instant) -> Instant {
-        terminated_at + ACCEPT_AFTER_SIGTERM + self.longest_deadline + BODY_TIMEOUT
+        terminated_at + SIGTERM_ACCEPT_PERIOD + self.longest_deadline + BODY_TIMEOUT
     }
 }
--- a/agent/src/traffic/errors.rs
+++ b/agent/src/traffic/errors.rs
@@ -24,6 +24,6 @@
 }
 
 /// Whether a call failed because the process or the system is out of descriptors or memory for now.
-pub fn is_shortage(error: &io::Error) -> bool {
+pub fn is_resource_exhaustion(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM))
 }
--- a/agent/src/upstream/connect.rs
+++ b/agent/src/upstream/connect.rs
@@ -1,6 +1,6 @@
 //! Opens TCP connections, and tells a failure of the agent's own system from one of the server or of the network.
 
-use crate::traffic::errors::is_shortage;
+use crate::traffic::errors::is_resource_exhaustion;
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
 use std::io;
 use std::net::SocketAddr;
@@ -43,5 +43,5 @@
 /// Whether `socket` or `connect` failed before anything went out (connect(2)).
 fn is_local(error: &io::Error) -> bool {
     let local_errors = [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EINTR];
-    is_shortage(error) || error.raw_os_error().is_some_and(|number| local_errors.contains(&number))
+    is_resource_exhaustion(error) || error.raw_os_error().is_some_and(|number| local_errors.contains(&number))
 }
