--- a/agent/src/traffic/connection_timer.rs
+++ b/agent/src/traffic/connection_timer.rs
@@ -24,7 +24,8 @@
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2800);
 /// A client that reads nothing of its response for this long is not expected to continue.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How often the deadline is computed again while a request is active and none applies.
+/// How often the deadline is computed again while a request is active: a write that becomes blocked sets one, but does
+/// not notify the task that waits.
 const CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Yields to the runtime `turns` times, so that events that are ready by now are handled first: an answer that arrived
