--- a/agent/src/peers/clock_reading.rs
+++ b/agent/src/peers/clock_reading.rs
@@ -1,9 +1,9 @@
-//! Both clocks of the machine, read at one moment.
+//! Paired readings of the monotonic clock and the wall clock.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Both clocks at one moment. Processes share the wall clock alone, which may be stepped; durations within a process
-/// are measured by the monotonic one.
+/// The monotonic clock and the wall clock, read together. Only wall-clock times can be compared between processes, but
+/// that clock may be stepped, so durations within a process are measured with the monotonic clock.
 #[derive(Debug, Clone, Copy)]
 pub struct ClockReading {
     /// The monotonic clock.
--- a/agent/src/peers/mod.rs
+++ b/agent/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! What the processes of one agent share, at first in an upgrade, when an old and a new one run side by side: the
-//! listening socket, and files with the operators' commands and a snapshot of the decisions.
+//! State that the processes of one agent share while an upgrade runs the old and the new one side by side: the
+//! listening socket, and files with the operators' commands and with a snapshot of what the balancer has learned.
 
 pub mod clock_reading;
 pub mod command;
--- a/agent/src/peers/writer/tests.rs
+++ b/agent/src/peers/writer/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn a_replacement_that_fails_at_any_step_leaves_the_old_text_and_nothing_else() {
+fn a_failed_replacement_leaves_the_old_text_and_no_temporary_file() {
     let folder = Folder::new("replace");
     let file = folder.0.join("a.json");
     for durability in [Durability::ProcessExit, Durability::PowerLoss] {
@@ -10,10 +10,10 @@
         replace(&file, b"new", durability).expect("replaced");
         assert_eq!(fs::read(&file).expect("text"), b"new");
         assert!(replace(&folder.0.join("nowhere/a.json"), b"x", durability).is_err());
-        // Where the name is a folder's, all goes well up to the last step.
-        let taken = folder.0.join("taken.json");
-        fs::create_dir_all(taken.join("full")).expect("a folder");
-        assert!(replace(&taken, b"x", durability).is_err());
+        // Where the path is a folder that is not empty, only the rename fails, the last step.
+        let occupied = folder.0.join("taken.json");
+        fs::create_dir_all(occupied.join("full")).expect("a folder");
+        assert!(replace(&occupied, b"x", durability).is_err());
         let mut names: Vec<_> =
             fs::read_dir(&folder.0).expect("a folder").flatten().map(|e| e.file_name()).collect();
         names.sort();
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test]
-async fn files_are_replaced_in_the_order_in_which_it_was_asked_for() {
+async fn files_are_replaced_in_the_order_of_the_requests() {
     let folder = Folder::new("order");
     let file = folder.0.join("a.json");
     let writer = Writer::start().expect("a thread");
