--- a/agent/src/admin/command_writer.rs
+++ b/agent/src/admin/command_writer.rs
@@ -4,7 +4,7 @@
 //! all commands are on disk. Whoever waits for a command gets the result of the next write that contains it.
 
 use crate::peers::clock_reading::ClockReading;
-use crate::peers::cordons::{Cordons, Draft};
+use crate::peers::cordons::{Cordons, PendingWrite};
 use crate::peers::writer::{Durability, Writer};
 use std::cell::RefCell;
 use std::io;
@@ -100,8 +100,8 @@
     pub async fn run(self: Rc<Self>, cordons: Rc<RefCell<Cordons>>, writer: Rc<Writer>) {
         let mut failures = 0;
         loop {
-            let draft = cordons.borrow_mut().draft(ClockReading::now());
-            let Some(Draft { revision, file, text }) = draft else {
+            let draft = cordons.borrow_mut().pending_write(ClockReading::now());
+            let Some(PendingWrite { revision, file, text }) = draft else {
                 self.wake.notified().await;
                 continue;
             };
--- a/agent/src/admin/service.rs
+++ b/agent/src/admin/service.rs
@@ -48,7 +48,7 @@
         let owner = Owner { agent, listen, zones, classes };
         let folder = folder.and_then(SharedFolder::open);
         if let Some(folder) = &folder {
-            file::remove_abandoned(&folder.path, &owner);
+            file::remove_abandoned_temporary_files(&folder.path, &owner);
         }
         let path = folder.as_ref().map(|folder| folder.path.clone());
         let cordons = Rc::new(RefCell::new(Cordons::new(path, owner.clone())));
--- a/agent/src/peers/cordons.rs
+++ b/agent/src/peers/cordons.rs
@@ -1,40 +1,41 @@
 //! The operators' latest commands on servers and zones, and the file in which the processes of one agent share them.
 //!
-//! Two processes run side by side for a while in an upgrade and are one agent, so a command at either has to hold in
-//! both. They share a small file in `$TMPDIR` with the latest command on each target and its time; the later one wins,
-//! whichever process it was given to.
+//! During an upgrade two processes of one agent run side by side, so a command given to either must take effect in
+//! both. They share a small file in `$TMPDIR` with the latest command on each target and the time it was given. Of two
+//! commands on a target the later one wins, whichever process received it.
 
 use super::clock_reading::ClockReading;
 use super::command::{Command, Target};
-use super::file::{self, Contents, STORED_FORM};
+use super::file::{self, Contents, FORMAT_VERSION};
 use super::owner::Owner;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// How often a process polls the file for commands that were given to the other one.
+/// How often a process polls the file for commands that were given to the other process.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A target that has been back in use for so long is an ordinary one, and no two processes run side by side for nearly
-/// as long.
-const RELEASE_RETENTION: Duration = Duration::from_secs(600);
-/// Names the file; part of the stored form.
-const STORED_CONTENTS: &str = "cordons";
+/// How long a command that put a target back in use is kept. The other process has read it long before, as no two
+/// processes run side by side for nearly as long.
+const UNCORDON_RETENTION: Duration = Duration::from_secs(600);
+/// The kind in the name of the file, which is part of the file format.
+const FILE_KIND: &str = "cordons";
 
-/// The commands as they are stored. The JSON keys are those of the earlier version, which reads the file too.
+/// The contents of the file. The previous version of the agent reads it too, so the JSON keys must not change.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StoredCommands {
+    /// The format version, [`FORMAT_VERSION`].
     form: u32,
     #[serde(rename = "of")]
     owner: Owner,
-    /// By [`Target::stored_key`].
+    /// Keyed by [`Target::stored_key`].
     #[serde(rename = "words")]
     commands: BTreeMap<String, Command>,
 }
 
 impl Contents for StoredCommands {
-    fn form(&self) -> u32 {
+    fn format_version(&self) -> u32 {
         self.form
     }
 
@@ -43,23 +44,23 @@
     }
 }
 
-/// A command as this process knows it.
+/// A command that this process received or read from the file.
 #[derive(Clone, Copy)]
 struct KnownCommand {
     command: Command,
-    /// When it was given, by this process's own monotonic clock.
+    /// When it was given, by this process's monotonic clock.
     given_at: Instant,
-    /// The revision with which it was given to this process; 0 for one that was read from the file.
+    /// The revision that this process assigned to it; 0 if it was read from the file.
     revision: u64,
 }
 
-/// A new version of the file.
-pub struct Draft {
-    /// The revision of the commands in it.
+/// A new version of the file that is not written yet.
+pub struct PendingWrite {
+    /// The latest revision that it includes.
     pub revision: u64,
     /// The file to replace.
     pub file: PathBuf,
-    /// Its new text.
+    /// The new text of the file.
     pub text: Vec<u8>,
 }
 
@@ -68,32 +69,32 @@
     file: Option<PathBuf>,
     owner: Owner,
     commands: BTreeMap<Target, KnownCommand>,
-    /// The text of the file at the last poll. Its modification time and inode say less: either may come again, also by
-    /// a step of the wall clock.
-    polled_text: Option<Vec<u8>>,
-    /// The last poll could not read the file, which has been logged.
-    is_unreadable: bool,
-    /// Counts the changes that the file on disk has to get.
+    /// The text of the file at the last poll, to detect a change. Modification time and inode number would not do: an
+    /// inode number may be reused, and a modification time may repeat when the wall clock is stepped.
+    last_polled_text: Option<Vec<u8>>,
+    /// Whether a failure to read the file has been logged since it was last read.
+    is_read_error_logged: bool,
+    /// The number of changes so far that have to be written to the file.
     revision: u64,
-    /// The revision that is on disk.
+    /// The latest revision that is on disk.
     saved_revision: u64,
 }
 
 impl Cordons {
-    /// No commands yet; they are shared in `folder`, if there is one.
+    /// Creates an empty set of commands, which is shared through a file in `folder` if one is given.
     pub fn new(folder: Option<PathBuf>, owner: Owner) -> Self {
         Cordons {
-            file: folder.map(|folder| folder.join(owner.file_name(STORED_CONTENTS))),
+            file: folder.map(|folder| folder.join(owner.file_name(FILE_KIND))),
             owner,
             commands: BTreeMap::new(),
-            polled_text: None,
-            is_unreadable: false,
+            last_polled_text: None,
+            is_read_error_logged: false,
             revision: 0,
             saved_revision: 0,
         }
     }
 
-    /// Whether a target is out of use by the latest command on it.
+    /// Whether the latest command on a target cordoned or evacuated it.
     pub fn is_withdrawn(&self, target: &Target) -> bool {
         self.commands.get(target).is_some_and(|known| known.command.is_withdrawn)
     }
@@ -103,10 +104,10 @@
         self.commands.contains_key(target)
     }
 
-    /// Records a command that was given to this process. The other process does not know it before the revision that it
-    /// gets is saved.
+    /// Records a command that was given to this process and assigns it a new revision. The other process cannot read it
+    /// until that revision is saved.
     pub fn record(&mut self, target: Target, is_withdrawn: bool, now: ClockReading) {
-        // A later command has the later time, also after a step back of the wall clock.
+        // The new time must exceed that of the previous command even if the wall clock was stepped back.
         let earlier_us = self.commands.get(&target).map_or(0, |known| known.command.given_at_us);
         let command = Command { is_withdrawn, given_at_us: now.wall_us.max(earlier_us + 1) };
         self.advance_revision();
@@ -114,7 +115,7 @@
         self.commands.insert(target, known);
     }
 
-    /// The current revision.
+    /// The current revision, which [`Cordons::is_saved`] compares with the one on disk.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -122,7 +123,7 @@
     fn advance_revision(&mut self) {
         self.revision += 1;
         if self.file.is_none() {
-            // There is nothing to save and no other process to share it with.
+            // Without a file there is nothing to save.
             self.saved_revision = self.revision;
         }
     }
@@ -137,34 +138,35 @@
         self.commands.values().filter(|known| known.revision > self.saved_revision).count()
     }
 
-    /// The file as it should be, if the one on disk is out of date. Releases past their retention are forgotten.
-    pub fn draft(&mut self, now: ClockReading) -> Option<Draft> {
+    /// The new version of the file, if the one on disk is out of date. Drops the commands that put a target back in use
+    /// more than [`UNCORDON_RETENTION`] ago.
+    pub fn pending_write(&mut self, now: ClockReading) -> Option<PendingWrite> {
         let file = self.file.clone().filter(|_| !self.is_saved())?;
         let is_recent = |known: &KnownCommand| {
-            now.monotonic.saturating_duration_since(known.given_at) < RELEASE_RETENTION
+            now.monotonic.saturating_duration_since(known.given_at) < UNCORDON_RETENTION
         };
         self.commands.retain(|_, known| known.command.is_withdrawn || is_recent(known));
-        let stored = |(target, known): (&Target, &KnownCommand)| (target.stored_key(), known.command);
+        let to_stored = |(target, known): (&Target, &KnownCommand)| (target.stored_key(), known.command);
         let contents = StoredCommands {
-            form: STORED_FORM,
+            form: FORMAT_VERSION,
             owner: self.owner.clone(),
-            commands: self.commands.iter().map(stored).collect(),
+            commands: self.commands.iter().map(to_stored).collect(),
         };
-        // Its keys are text, so it can always be written as JSON.
+        // Serialization cannot fail, as all keys are strings.
         let text = serde_json::to_vec(&contents).unwrap_or_default();
-        Some(Draft { revision: self.revision, file, text })
+        Some(PendingWrite { revision: self.revision, file, text })
     }
 
-    /// Notes that a revision is on disk.
+    /// Records that a revision is on disk.
     pub fn mark_saved(&mut self, revision: u64) {
         self.saved_revision = self.saved_revision.max(revision);
     }
 
-    /// The commands that another process has written since the last poll, which are the latest from now on.
+    /// Reads the file, and adopts and returns the commands in it that are later than those known so far.
     pub fn poll(&mut self, now: ClockReading) -> Vec<(Target, Command)> {
         let Some(stored) = self.read_if_changed() else { return Vec::new() };
         if self.has_overwritten_command(&stored) {
-            // Both processes replaced the file at once, so it has to be written again.
+            // The other process replaced the file without having read this process's command: write it again.
             self.advance_revision();
         }
         let received: Vec<_> = stored
@@ -180,7 +182,7 @@
         received
     }
 
-    /// Whether a command that this process knows is missing in the file, or is an earlier one there.
+    /// Whether the file lacks a command that this process knows, or has an earlier one on the same target.
     fn has_overwritten_command(&self, stored: &BTreeMap<String, Command>) -> bool {
         self.commands.iter().any(|(target, known)| {
             let stored = stored.get(&target.stored_key());
@@ -188,44 +190,43 @@
         })
     }
 
+    /// Whether a command is later than the known one on its target, if there is one.
     fn is_later(&self, target: &Target, command: &Command) -> bool {
         let known = self.commands.get(target);
         known.is_none_or(|known| known.command.given_at_us < command.given_at_us)
     }
 
-    /// The commands in the file, if it is acceptable and has been replaced since the last poll.
+    /// The commands in the file, if it is valid and its text has changed since the last poll.
     fn read_if_changed(&mut self) -> Option<BTreeMap<String, Command>> {
         let file = self.file.as_ref()?;
         let text = match file::read(file) {
-            // Without a file there are no commands.
+            // A missing file means that there are no commands yet.
             Ok(text) => text?,
             Err(error) => {
-                if !std::mem::replace(&mut self.is_unreadable, true) {
+                if !std::mem::replace(&mut self.is_read_error_logged, true) {
                     tracing::warn!(target: "handover", "{} cannot be read: {error}", file.display());
                 }
                 return None;
             }
         };
-        self.is_unreadable = false;
-        if self.polled_text.as_ref() == Some(&text) {
+        self.is_read_error_logged = false;
+        if self.last_polled_text.as_ref() == Some(&text) {
             return None;
         }
         let parsed =
-            file::parse::<StoredCommands>(&text, &self.owner, |found| self.owner.has_same_servers(found));
-        self.polled_text = Some(text);
+            file::parse::<StoredCommands>(&text, &self.owner, |found| self.owner.has_same_targets(found));
+        self.last_polled_text = Some(text);
         parsed
             .map(|contents| contents.commands)
-            .inspect_err(
-                |error| tracing::warn!(target: "handover", "{} is not taken: {error}", file.display()),
-            )
+            .inspect_err(|error| tracing::warn!(target: "handover", "{} is ignored: {error}", file.display()))
             .ok()
     }
 }
 
-/// How long ago a command was given, by the wall clock: all that one process can know of another one's command. At most
-/// [`RELEASE_RETENTION`], whatever that clock has been set to since.
+/// How long ago a command was given by the wall clock, the only clock that two processes share. Capped at
+/// [`UNCORDON_RETENTION`], in case that clock has been stepped forward since.
 fn command_age(command: Command, now: ClockReading) -> Duration {
-    Duration::from_micros(now.wall_us.saturating_sub(command.given_at_us)).min(RELEASE_RETENTION)
+    Duration::from_micros(now.wall_us.saturating_sub(command.given_at_us)).min(UNCORDON_RETENTION)
 }
 
 #[cfg(test)]
--- a/agent/src/peers/cordons/tests.rs
+++ b/agent/src/peers/cordons/tests.rs
@@ -2,9 +2,9 @@
 use super::super::writer::{self, Durability};
 use super::*;
 
-/// Writes what there is to write, as the process does.
-fn write(process: &mut Cordons, now: ClockReading) -> std::io::Result<()> {
-    while let Some(Draft { revision, file, text }) = process.draft(now) {
+/// Writes the file until it is up to date, as the process does.
+fn write_pending(process: &mut Cordons, now: ClockReading) -> std::io::Result<()> {
+    while let Some(PendingWrite { revision, file, text }) = process.pending_write(now) {
         writer::replace(&file, &text, Durability::PowerLoss)?;
         process.mark_saved(revision);
     }
@@ -15,15 +15,16 @@
     Target::Server(name.into())
 }
 
-/// Gives a command to a process.
+/// Gives a process a command on a server, and writes the file.
 fn command(process: &mut Cordons, name: &str, is_withdrawn: bool, now: ClockReading) -> std::io::Result<()> {
     process.record(server(name), is_withdrawn, now);
-    write(process, now)
+    write_pending(process, now)
 }
 
+/// Polls the file, and writes it if that is needed.
 fn poll(process: &mut Cordons, now: ClockReading) -> Vec<(Target, Command)> {
     let received = process.poll(now);
-    write(process, now).expect("written");
+    write_pending(process, now).expect("written");
     received
 }
 
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn a_command_given_to_either_process_holds_in_both() {
+fn a_command_given_to_either_process_takes_effect_in_both() {
     let folder = Folder::new("both");
     let (mut old, mut new) = (new_process(&folder), new_process(&folder));
     command(&mut old, "a", true, ClockReading::now()).expect("written");
@@ -44,12 +45,13 @@
     command(&mut new, "b", true, ClockReading::now()).expect("written");
     poll(&mut old, ClockReading::now());
     assert!(!old.is_withdrawn(&server("a")) && old.is_withdrawn(&server("b")));
-    assert_eq!(std::fs::read_dir(&folder.0).expect("a folder").count(), 1, "nothing else is left");
+    assert_eq!(std::fs::read_dir(&folder.0).expect("a folder").count(), 1, "only the shared file is left");
 }
 
-/// Both replace the file before either has polled it: the first one's command must not be lost.
+/// If both processes replace the file before either polls it, the second replacement overwrites the first one's
+/// command, which must be written again.
 #[test]
-fn replacements_that_cross_lose_no_command() {
+fn concurrent_replacements_lose_no_command() {
     let folder = Folder::new("cross");
     let (mut old, mut new) = (new_process(&folder), new_process(&folder));
     command(&mut old, "a", true, ClockReading::now()).expect("written");
@@ -67,13 +69,13 @@
 }
 
 #[test]
-fn a_torn_or_foreign_file_is_ignored_and_replaced() {
+fn a_truncated_or_foreign_file_is_ignored_and_replaced() {
     let folder = Folder::new("torn");
     let mut process = new_process(&folder);
-    let of = serde_json::to_string(&owner()).expect("text");
-    let complete = format!(r#"{{"form":2,"of":{of},"words":{{"a":{{"out":true,"at":5}}}}}}"#);
-    let file = folder.0.join(owner().file_name(STORED_CONTENTS));
-    let foreign: [&[u8]; 6] = [
+    let owner_json = serde_json::to_string(&owner()).expect("text");
+    let complete = format!(r#"{{"form":2,"of":{owner_json},"words":{{"a":{{"out":true,"at":5}}}}}}"#);
+    let file = folder.0.join(owner().file_name(FILE_KIND));
+    let invalid_texts: [&[u8]; 6] = [
         &complete.as_bytes()[..20],
         b"",
         b"\xff\xff",
@@ -81,7 +83,7 @@
         &complete.replace("\"words\"", "\"more\":1,\"words\"").into_bytes(),
         &complete.replace("127.0.0.1:1", "127.0.0.1:2").into_bytes(),
     ];
-    for text in foreign {
+    for text in invalid_texts {
         std::fs::write(&file, text).expect("written");
         assert_eq!(poll(&mut process, ClockReading::now()), [], "{text:?}");
     }
@@ -100,44 +102,45 @@
     );
 }
 
-const HOUR: u64 = 3_600_000_000;
+const HOUR_US: u64 = 3_600_000_000;
 
-/// So long after `start`, with the wall clock ahead of its true time by `step` microseconds.
+/// A reading taken `after` past `start`, with the wall clock `step` microseconds ahead of the true time.
 fn later(start: ClockReading, after: Duration, step: i64) -> ClockReading {
     let wall_us = (start.wall_us + after.as_micros() as u64).saturating_add_signed(step);
     ClockReading { monotonic: start.monotonic + after, wall_us }
 }
 
-/// A process that has not polled since must find the server's return in the file, or it would cordon it again.
+/// A process that has not polled since the server was uncordoned must find that command in the file. If a forward step
+/// of the wall clock made it expire, the process would write its older cordon again.
 #[test]
-fn a_return_is_not_forgotten_because_the_wall_clock_was_stepped_ahead() {
+fn a_forward_step_of_the_wall_clock_does_not_expire_an_uncordon() {
     let folder = Folder::new("ahead");
-    let (mut here, mut beside) = (new_process(&folder), new_process(&folder));
+    let (mut this_process, mut other_process) = (new_process(&folder), new_process(&folder));
     let start = ClockReading::now();
-    command(&mut here, "a", true, start).expect("written");
-    poll(&mut beside, start);
-    command(&mut here, "a", false, start).expect("written");
-    let stepped = later(start, Duration::from_secs(1), HOUR as i64);
-    command(&mut here, "b", true, stepped).expect("written");
-    poll(&mut beside, stepped);
-    assert!(!beside.is_withdrawn(&server("a")) && beside.is_withdrawn(&server("b")));
-    poll(&mut here, stepped);
-    assert!(!here.is_withdrawn(&server("a")), "it is cordoned again");
+    command(&mut this_process, "a", true, start).expect("written");
+    poll(&mut other_process, start);
+    command(&mut this_process, "a", false, start).expect("written");
+    let stepped = later(start, Duration::from_secs(1), HOUR_US as i64);
+    command(&mut this_process, "b", true, stepped).expect("written");
+    poll(&mut other_process, stepped);
+    assert!(!other_process.is_withdrawn(&server("a")) && other_process.is_withdrawn(&server("b")));
+    poll(&mut this_process, stepped);
+    assert!(!this_process.is_withdrawn(&server("a")), "it is cordoned again");
 }
 
 #[test]
-fn a_return_is_forgotten_after_its_retention_whatever_the_wall_clock_reads() {
+fn an_uncordon_expires_after_its_retention_whatever_the_wall_clock_reads() {
     let folder = Folder::new("forgotten");
-    let mut here = new_process(&folder);
+    let mut this_process = new_process(&folder);
     let start = ClockReading::now();
-    command(&mut here, "a", true, start).expect("written");
-    command(&mut here, "a", false, start).expect("written");
-    for (after, known) in [(RELEASE_RETENTION / 2, true), (RELEASE_RETENTION, false)] {
-        command(&mut here, "b", true, later(start, after, -(HOUR as i64))).expect("written");
+    command(&mut this_process, "a", true, start).expect("written");
+    command(&mut this_process, "a", false, start).expect("written");
+    for (after, known) in [(UNCORDON_RETENTION / 2, true), (UNCORDON_RETENTION, false)] {
+        command(&mut this_process, "b", true, later(start, after, -(HOUR_US as i64))).expect("written");
         let mut next = new_process(&folder);
-        poll(&mut next, later(start, after, -(HOUR as i64)));
+        poll(&mut next, later(start, after, -(HOUR_US as i64)));
         assert_eq!(
-            (here.has_command(&server("a")), next.has_command(&server("a"))),
+            (this_process.has_command(&server("a")), next.has_command(&server("a"))),
             (known, known),
             "after {after:?}"
         );
@@ -145,31 +148,32 @@
 }
 
 #[test]
-fn the_later_command_wins_also_after_a_step_back() {
+fn the_later_command_wins_after_a_backward_step_of_the_wall_clock() {
     let folder = Folder::new("back");
-    let (mut here, mut beside) = (new_process(&folder), new_process(&folder));
+    let (mut this_process, mut other_process) = (new_process(&folder), new_process(&folder));
     let start = ClockReading::now();
-    command(&mut here, "a", true, start).expect("written");
-    let stepped = later(start, Duration::from_secs(1), -(HOUR as i64));
-    poll(&mut beside, stepped);
-    command(&mut beside, "a", false, stepped).expect("written");
-    poll(&mut here, stepped);
-    assert!(!here.is_withdrawn(&server("a")) && !beside.is_withdrawn(&server("a")));
+    command(&mut this_process, "a", true, start).expect("written");
+    let stepped = later(start, Duration::from_secs(1), -(HOUR_US as i64));
+    poll(&mut other_process, stepped);
+    command(&mut other_process, "a", false, stepped).expect("written");
+    poll(&mut this_process, stepped);
+    assert!(!this_process.is_withdrawn(&server("a")) && !other_process.is_withdrawn(&server("a")));
 }
 
-/// The number of a file that was replaced is used again, its length is the same, and after a step back its time may be.
+/// A replaced file may have the inode number and length of the previous one and, after a backward step of the wall
+/// clock, its modification time, so none of them shows that the text has changed.
 #[test]
-fn a_replacement_is_seen_though_number_length_and_time_are_the_same() {
+fn a_replacement_with_the_same_inode_length_and_time_is_detected() {
     let folder = Folder::new("same");
-    let (mut here, mut beside) = (new_process(&folder), new_process(&folder));
-    let file = folder.0.join(owner().file_name(STORED_CONTENTS));
-    command(&mut here, "a", true, ClockReading::now()).expect("written");
+    let (mut this_process, mut other_process) = (new_process(&folder), new_process(&folder));
+    let file = folder.0.join(owner().file_name(FILE_KIND));
+    command(&mut this_process, "a", true, ClockReading::now()).expect("written");
     let (text, time) = (std::fs::read_to_string(&file), std::fs::metadata(&file).and_then(|m| m.modified()));
-    poll(&mut beside, ClockReading::now());
-    let other = text.expect("text").replace("\"a\":{", "\"c\":{");
-    std::fs::write(&file, other).expect("written");
-    let replaced = std::fs::File::options().append(true).open(&file).expect("the file");
-    replaced.set_modified(time.expect("a time")).expect("set");
-    poll(&mut beside, ClockReading::now());
-    assert!(beside.is_withdrawn(&server("c")));
+    poll(&mut other_process, ClockReading::now());
+    let changed_text = text.expect("text").replace("\"a\":{", "\"c\":{");
+    std::fs::write(&file, changed_text).expect("written");
+    let opened = std::fs::File::options().append(true).open(&file).expect("the file");
+    opened.set_modified(time.expect("a time")).expect("set");
+    poll(&mut other_process, ClockReading::now());
+    assert!(other_process.is_withdrawn(&server("c")));
 }
--- a/agent/src/peers/file.rs
+++ b/agent/src/peers/file.rs
@@ -1,5 +1,5 @@
-//! Reading the files that the processes of one agent share. A file names the agent and the deployment that it was
-//! written for, and no other reads its contents.
+//! Reads the files that the processes of one agent share. Each file names the agent and the deployment that it was
+//! written for, and other agents ignore it.
 
 use super::owner::Owner;
 use serde::de::DeserializeOwned;
@@ -8,77 +8,79 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The form number that all shared files carry. It is part of the stored form, which the earlier version reads too.
-pub const STORED_FORM: u32 = 2;
-/// A longer file was not written by this program.
+/// The format version of all shared files. The previous version of the agent reads and writes the same one.
+pub const FORMAT_VERSION: u32 = 2;
+/// The longest file that is accepted. A longer one is assumed not to be written by the agent.
 const MAX_FILE_BYTES: u64 = 256 << 10;
-/// The extension of files that are still being written.
+/// The extension of temporary files, which hold a new version until it replaces the file.
 const TEMPORARY_EXTENSION: &str = "new";
 
 /// The contents of a shared file.
 pub trait Contents: DeserializeOwned {
-    /// The form number that the file carries.
-    fn form(&self) -> u32;
-    /// The agent and deployment that it was written for.
+    /// The format version of the file.
+    fn format_version(&self) -> u32;
+    /// The agent and deployment that the file was written for.
     fn owner(&self) -> &Owner;
 }
 
 /// Why the text of a shared file is not accepted.
 #[derive(Debug, Error)]
 pub enum ContentsError {
-    /// The text is longer than this program writes.
+    /// The text is longer than [`MAX_FILE_BYTES`].
     #[error("it is longer than {MAX_FILE_BYTES} bytes")]
     TooLong,
-    /// The text is not JSON of the expected shape.
+    /// The text is not JSON with the expected fields.
     #[error(transparent)]
     Invalid(#[from] serde_json::Error),
-    /// The file carries another form number.
-    #[error("its form is {found}, not {STORED_FORM}")]
-    OtherForm {
-        /// The number that the file carries.
+    /// The file has another format version.
+    #[error("its format version is {found}, not {FORMAT_VERSION}")]
+    UnsupportedFormat {
+        /// The format version of the file.
         found: u32,
     },
     /// The file was written for another agent or deployment.
     #[error("it was written for {found}, not for {expected}")]
-    OtherOwner {
-        /// The owner that the file names.
+    WrongOwner {
+        /// The owner named in the file.
         found: Box<Owner>,
-        /// The owner that reads it.
+        /// The owner that this process has.
         expected: Box<Owner>,
     },
 }
 
-/// The path at which this process writes a new version of a file, before it replaces the file.
+/// The path of the temporary file in which this process prepares a new version of a file.
 pub fn temporary_path(file: &Path) -> PathBuf {
     file.with_extension(format!("{}.{TEMPORARY_EXTENSION}", std::process::id()))
 }
 
-/// Removes the owner's temporary files whose processes have ended. To be called before this process writes its first.
-/// A file that cannot be removed stays.
-pub fn remove_abandoned(folder: &Path, owner: &Owner) {
+/// Removes the owner's temporary files that were left by processes that have ended. Must be called before this process
+/// writes its first file. A file that cannot be removed stays.
+pub fn remove_abandoned_temporary_files(folder: &Path, owner: &Owner) {
     let Ok(entries) = fs::read_dir(folder) else { return };
     let stem = owner.file_name_stem();
     for entry in entries.flatten() {
         let name = entry.file_name();
-        if name.to_str().and_then(|name| temporary_file_writer(name, &stem)).is_some_and(has_ended) {
+        if name.to_str().and_then(|name| temporary_file_pid(name, &stem)).is_some_and(has_ended) {
             let _ = fs::remove_file(entry.path());
         }
     }
 }
 
-/// The id of the process that wrote a temporary file; `None` if this is not the name of one with this stem.
-fn temporary_file_writer(name: &str, stem: &str) -> Option<u32> {
-    let (_, process) =
+/// The id of the process that wrote a temporary file; `None` if `name` is not that of a temporary file with this stem.
+fn temporary_file_pid(name: &str, stem: &str) -> Option<u32> {
+    let (_, pid) =
         name.strip_prefix(stem)?.strip_suffix(TEMPORARY_EXTENSION)?.strip_suffix('.')?.split_once('.')?;
-    process.parse().ok()
+    pid.parse().ok()
 }
 
-/// Whether a process has ended. This process has written nothing yet, so a file with its id is of an earlier process.
-fn has_ended(process: u32) -> bool {
-    process == std::process::id() || !Path::new("/proc").join(process.to_string()).exists()
+/// Whether the process that wrote a temporary file has ended. If the id is this process's own, an earlier process had
+/// the same id, as this one has written nothing yet.
+fn has_ended(pid: u32) -> bool {
+    pid == std::process::id() || !Path::new("/proc").join(pid.to_string()).exists()
 }
 
-/// Reads a file up to one byte over the longest that [`parse`] accepts; `None` if there is no file.
+/// Reads a file; `None` if there is none. Stops one byte past the longest text that [`parse`] accepts, which is enough
+/// for it to see that the file is too long.
 pub fn read(file: &Path) -> io::Result<Option<Vec<u8>>> {
     let file = match fs::File::open(file) {
         Ok(file) => file,
@@ -90,26 +92,26 @@
     Ok(Some(text))
 }
 
-/// Parses the text of a shared file for `reader`.
+/// Parses the text of a shared file on behalf of `reader`.
 ///
 /// # Errors
 ///
-/// If the text is too long or malformed, carries another form number, or names an owner that is not `accepted`.
+/// If the text is too long or malformed, has another format version, or names an owner that `is_accepted` refuses.
 pub fn parse<T: Contents>(
     text: &[u8],
     reader: &Owner,
-    accepted: impl Fn(&Owner) -> bool,
+    is_accepted: impl Fn(&Owner) -> bool,
 ) -> Result<T, ContentsError> {
     if text.len() as u64 > MAX_FILE_BYTES {
         return Err(ContentsError::TooLong);
     }
     let contents: T = serde_json::from_slice(text)?;
-    if contents.form() != STORED_FORM {
-        return Err(ContentsError::OtherForm { found: contents.form() });
+    if contents.format_version() != FORMAT_VERSION {
+        return Err(ContentsError::UnsupportedFormat { found: contents.format_version() });
     }
-    if !accepted(contents.owner()) {
+    if !is_accepted(contents.owner()) {
         let found = Box::new(contents.owner().clone());
-        return Err(ContentsError::OtherOwner { found, expected: Box::new(reader.clone()) });
+        return Err(ContentsError::WrongOwner { found, expected: Box::new(reader.clone()) });
     }
     Ok(contents)
 }
--- a/agent/src/peers/file/tests/earlier_version.rs
+++ b/agent/src/peers/file/tests/earlier_version.rs
@@ -1,15 +1,16 @@
-//! The version before this one and this one run side by side in an upgrade, and back: each reads what the other writes.
+//! Compatibility with the previous version of the agent. In an upgrade or a rollback the two versions run side by side, so
+//! each must read the files that the other writes.
 
 use super::{owner, Folder};
 use crate::peers::clock_reading::ClockReading;
 use crate::peers::command::{Command, Target};
-use crate::peers::cordons::{Cordons, Draft};
+use crate::peers::cordons::{Cordons, PendingWrite};
 use crate::peers::snapshot::{self, SnapshotReader};
 use balancer::{ServerId, ServerSnapshot, Snapshot, Time};
 use std::time::Instant;
 
-/// The forms as the version before has them, which refuses any key that it does not know.
-mod before {
+/// The file formats of the previous version, which rejects unknown keys.
+mod previous_version {
     use serde::{Deserialize, Serialize};
     use std::collections::BTreeMap;
 
@@ -24,22 +25,22 @@
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
     #[serde(deny_unknown_fields)]
-    pub struct Word {
+    pub struct StoredCommand {
         pub out: bool,
         pub at: u64,
     }
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
     #[serde(deny_unknown_fields)]
-    pub struct Words {
+    pub struct StoredCommands {
         pub form: u32,
         pub of: Owner,
-        pub words: BTreeMap<String, Word>,
+        pub words: BTreeMap<String, StoredCommand>,
     }
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
     #[serde(deny_unknown_fields)]
-    pub struct Learned {
+    pub struct StoredSnapshot {
         pub form: u32,
         pub of: Owner,
         pub at: u64,
@@ -47,12 +48,12 @@
         pub median: f64,
         pub class_pace: Vec<f64>,
         pub warm_sent: f64,
-        pub servers: BTreeMap<String, LearnedServer>,
+        pub servers: BTreeMap<String, StoredServer>,
     }
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
     #[serde(deny_unknown_fields)]
-    pub struct LearnedServer {
+    pub struct StoredServer {
         pub started: Option<u64>,
         pub limit: f64,
         pub cut: bool,
@@ -64,14 +65,14 @@
     }
 }
 
-/// As the version before wrote them, and their names.
-const WORDS: &str = r#"{"form":2,"of":{"agent":"n0","listen":"127.0.0.1:1","zones":["a","b"],"classes":["read","pay"]},"words":{"s-1":{"out":true,"at":1796207553416217},"zone b":{"out":false,"at":1796207553416658}}}"#;
-const WORDS_FILE: &str = "bellcroft-n0-513090c2ad334f9e-cordons.json";
-const LEARNED: &str = r#"{"form":2,"of":{"agent":"n0","listen":"127.0.0.1:1","zones":["a","b"],"classes":["read","pay"]},"at":1796207553446406,"level":0.5,"median":0.2,"class_pace":[0.1,0.25],"warm_sent":2.0,"servers":{"s-7":{"started":1700000000123000,"limit":4.5,"cut":true,"stretch":1.5,"pace":0.3,"samples":9,"cold_sent":0.5,"suspect":true},"s-8":{"started":null,"limit":4.5,"cut":true,"stretch":1.5,"pace":0.3,"samples":9,"cold_sent":0.5,"suspect":false}}}"#;
-const LEARNED_FILE: &str = "bellcroft-n0-513090c2ad334f9e-learned.json";
-const LEARNED_AT: u64 = 1_796_207_553_446_406;
+/// Files as the previous version wrote them, and their names.
+const COMMANDS_TEXT: &str = r#"{"form":2,"of":{"agent":"n0","listen":"127.0.0.1:1","zones":["a","b"],"classes":["read","pay"]},"words":{"s-1":{"out":true,"at":1796207553416217},"zone b":{"out":false,"at":1796207553416658}}}"#;
+const COMMANDS_FILE: &str = "bellcroft-n0-513090c2ad334f9e-cordons.json";
+const SNAPSHOT_TEXT: &str = r#"{"form":2,"of":{"agent":"n0","listen":"127.0.0.1:1","zones":["a","b"],"classes":["read","pay"]},"at":1796207553446406,"level":0.5,"median":0.2,"class_pace":[0.1,0.25],"warm_sent":2.0,"servers":{"s-7":{"started":1700000000123000,"limit":4.5,"cut":true,"stretch":1.5,"pace":0.3,"samples":9,"cold_sent":0.5,"suspect":true},"s-8":{"started":null,"limit":4.5,"cut":true,"stretch":1.5,"pace":0.3,"samples":9,"cold_sent":0.5,"suspect":false}}}"#;
+const SNAPSHOT_FILE: &str = "bellcroft-n0-513090c2ad334f9e-learned.json";
+const SNAPSHOT_TAKEN_AT_US: u64 = 1_796_207_553_446_406;
 
-fn snapshot_before() -> Snapshot {
+fn expected_snapshot() -> Snapshot {
     let server = |id, started, is_ejected| ServerSnapshot {
         server: ServerId(id),
         started,
@@ -93,45 +94,50 @@
     }
 }
 
-/// A moment soon after the literal files were written.
-fn moment() -> ClockReading {
-    ClockReading { monotonic: Instant::now(), wall_us: LEARNED_AT + 1_000_000 }
+/// One second after the previous version wrote its snapshot.
+fn reading_time() -> ClockReading {
+    ClockReading { monotonic: Instant::now(), wall_us: SNAPSHOT_TAKEN_AT_US + 1_000_000 }
 }
 
 #[test]
-fn what_the_version_before_wrote_is_read_whole() {
+fn files_of_the_previous_version_are_read_completely() {
     let folder = Folder::new("from-before");
-    std::fs::write(folder.0.join(WORDS_FILE), WORDS).expect("written");
-    std::fs::write(folder.0.join(LEARNED_FILE), LEARNED).expect("written");
+    std::fs::write(folder.0.join(COMMANDS_FILE), COMMANDS_TEXT).expect("written");
+    std::fs::write(folder.0.join(SNAPSHOT_FILE), SNAPSHOT_TEXT).expect("written");
     let mut cordons = Cordons::new(Some(folder.0.clone()), owner());
     let cordoned = Command { is_withdrawn: true, given_at_us: 1_796_207_553_416_217 };
-    let returned = Command { is_withdrawn: false, given_at_us: 1_796_207_553_416_658 };
-    let expected = [(Target::Server("s-1".into()), cordoned), (Target::Zone("b".into()), returned)];
-    assert_eq!(cordons.poll(moment()), expected);
+    let uncordoned = Command { is_withdrawn: false, given_at_us: 1_796_207_553_416_658 };
+    let expected = [(Target::Server("s-1".into()), cordoned), (Target::Zone("b".into()), uncordoned)];
+    assert_eq!(cordons.poll(reading_time()), expected);
     let id = |name: &str| name.strip_prefix("s-").and_then(|id| id.parse().ok()).map(ServerId);
-    let mut reader = SnapshotReader::new(&folder.0, owner(), moment());
-    assert_eq!(reader.poll(moment(), id), Some(snapshot_before()));
+    let mut reader = SnapshotReader::new(&folder.0, owner(), reading_time());
+    assert_eq!(reader.poll(reading_time(), id), Some(expected_snapshot()));
 }
 
 #[test]
-fn what_is_written_is_read_by_the_version_before() {
+fn files_are_written_as_the_previous_version_reads_them() {
     let folder = Folder::new("for-before");
-    std::fs::write(folder.0.join(WORDS_FILE), WORDS).expect("written");
+    std::fs::write(folder.0.join(COMMANDS_FILE), COMMANDS_TEXT).expect("written");
     let mut cordons = Cordons::new(Some(folder.0.clone()), owner());
-    cordons.poll(moment());
-    cordons.record(Target::Server("s-2".into()), true, moment());
-    let Draft { file, text, .. } = cordons.draft(moment()).expect("something to write");
-    assert_eq!(file, folder.0.join(WORDS_FILE));
-    let written: before::Words = serde_json::from_slice(&text).expect("the form of the version before");
-    let mut expected: before::Words = serde_json::from_str(WORDS).expect("its own form");
-    expected.words.insert("s-2".into(), before::Word { out: true, at: moment().wall_us });
+    cordons.poll(reading_time());
+    cordons.record(Target::Server("s-2".into()), true, reading_time());
+    let PendingWrite { file, text, .. } = cordons.pending_write(reading_time()).expect("a pending write");
+    assert_eq!(file, folder.0.join(COMMANDS_FILE));
+    let written: previous_version::StoredCommands =
+        serde_json::from_slice(&text).expect("the format of the previous version");
+    let mut expected: previous_version::StoredCommands =
+        serde_json::from_str(COMMANDS_TEXT).expect("valid JSON");
+    expected
+        .words
+        .insert("s-2".into(), previous_version::StoredCommand { out: true, at: reading_time().wall_us });
     assert_eq!(written, expected);
 
-    let at = ClockReading { wall_us: LEARNED_AT, ..moment() };
+    let at = ClockReading { wall_us: SNAPSHOT_TAKEN_AT_US, ..reading_time() };
     let name = |id: ServerId| Some(format!("s-{}", id.0));
-    let text = snapshot::encode(&snapshot_before(), &owner(), at, name);
-    assert_eq!(snapshot::path(&folder.0, &owner()), folder.0.join(LEARNED_FILE));
-    let written: before::Learned = serde_json::from_slice(&text).expect("the form of the version before");
-    let expected: before::Learned = serde_json::from_str(LEARNED).expect("its own form");
+    let text = snapshot::encode(&expected_snapshot(), &owner(), at, name);
+    assert_eq!(snapshot::path(&folder.0, &owner()), folder.0.join(SNAPSHOT_FILE));
+    let written: previous_version::StoredSnapshot =
+        serde_json::from_slice(&text).expect("the format of the previous version");
+    let expected: previous_version::StoredSnapshot = serde_json::from_str(SNAPSHOT_TEXT).expect("valid JSON");
     assert_eq!(written, expected);
 }
--- a/agent/src/peers/snapshot.rs
+++ b/agent/src/peers/snapshot.rs
@@ -1,7 +1,7 @@
-//! The snapshot of the decisions that a process stores for the one that takes over from it.
+//! The stored snapshot of what the balancer has learned, from which a new process of the agent starts.
 
 use super::clock_reading::ClockReading;
-use super::file::{self, Contents, STORED_FORM};
+use super::file::{self, Contents, FORMAT_VERSION};
 use super::owner::Owner;
 use balancer::{ServerId, ServerSnapshot, Snapshot, Time};
 use serde::{Deserialize, Serialize};
@@ -9,23 +9,25 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// A running process replaces its snapshot this often.
+/// How often a running process replaces its snapshot.
 pub const STORE_INTERVAL: Duration = Duration::from_secs(1);
-/// An older snapshot is of no use.
+/// An older snapshot is not restored.
 const MAX_AGE: Duration = Duration::from_secs(5);
-/// A process that runs has replaced its snapshot within this, with time to spare for a slow disk.
+/// How long a new process waits for a running one to replace the snapshot. Longer than [`STORE_INTERVAL`], so that a
+/// slow disk has time.
 const REPLACEMENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Names the file; part of the stored form.
-const STORED_CONTENTS: &str = "learned";
+/// The kind in the name of the file, which is part of the file format.
+const FILE_KIND: &str = "learned";
 
-/// A snapshot as it is stored. The JSON keys are those of the earlier version, which reads the file too.
+/// The contents of the file. The previous version of the agent reads it too, so the JSON keys must not change.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StoredSnapshot {
+    /// The format version, [`FORMAT_VERSION`].
     form: u32,
     #[serde(rename = "of")]
     owner: Owner,
-    /// When it was taken, in Unix microseconds.
+    /// When the snapshot was taken, in Unix microseconds.
     #[serde(rename = "at")]
     taken_at_us: u64,
     #[serde(rename = "level")]
@@ -36,14 +38,15 @@
     class_latencies: Vec<f64>,
     #[serde(rename = "warm_sent")]
     warmed_up_work: f64,
-    /// Servers by their names on the endpoint list.
+    /// Keyed by the names on the endpoint list.
     servers: BTreeMap<String, StoredServer>,
 }
 
+/// A [`ServerSnapshot`] as it is stored.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StoredServer {
-    /// Microseconds since the Unix epoch.
+    /// When the server process started, in Unix microseconds; `None` if the endpoint list does not say.
     #[serde(rename = "started")]
     started_at_us: Option<u64>,
     #[serde(rename = "limit")]
@@ -62,7 +65,7 @@
 }
 
 impl Contents for StoredSnapshot {
-    fn form(&self) -> u32 {
+    fn format_version(&self) -> u32 {
         self.form
     }
 
@@ -85,7 +88,7 @@
         }
     }
 
-    fn restore(self, server: ServerId) -> ServerSnapshot {
+    fn into_snapshot(self, server: ServerId) -> ServerSnapshot {
         ServerSnapshot {
             server,
             started: self.started_at_us.map(Time),
@@ -101,81 +104,85 @@
 }
 
 impl StoredSnapshot {
-    /// The snapshot, of those servers that have an id.
-    fn restore(self, server_id: impl Fn(&str) -> Option<ServerId>) -> Snapshot {
-        let restore = |(name, server): (String, StoredServer)| Some(server.restore(server_id(&name)?));
+    /// Converts it to a [`Snapshot`]. Servers for which `server_id` returns `None` are left out.
+    fn into_snapshot(self, server_id: impl Fn(&str) -> Option<ServerId>) -> Snapshot {
+        let restore_server =
+            |(name, server): (String, StoredServer)| Some(server.into_snapshot(server_id(&name)?));
         Snapshot {
             admission_level: self.admission_level,
             median_latency: self.median_latency,
             class_latencies: self.class_latencies,
             warm_sent: self.warmed_up_work,
-            servers: self.servers.into_iter().filter_map(restore).collect(),
+            servers: self.servers.into_iter().filter_map(restore_server).collect(),
         }
     }
 
-    /// Whether it was taken lately by the wall clock. If it is dated in the future, the clock was stepped since, and
-    /// its true age is unknown.
+    /// Whether the wall clock is within [`MAX_AGE`] of the time at which the snapshot was taken, before or after. A
+    /// snapshot dated in the future shows that the clock was stepped since, so its true age is unknown.
     fn is_fresh(&self, now: ClockReading) -> bool {
         now.wall_us.abs_diff(self.taken_at_us) <= MAX_AGE.as_micros() as u64
     }
 }
 
-/// The path of an owner's snapshot.
+/// The path of an owner's snapshot file.
 pub fn path(folder: &Path, owner: &Owner) -> PathBuf {
-    folder.join(owner.file_name(STORED_CONTENTS))
+    folder.join(owner.file_name(FILE_KIND))
 }
 
-/// The text to store for a snapshot, of those servers that have a name. Without it the next process has a slow start
-/// and nothing worse.
+/// Encodes a snapshot for the file. Servers for which `server_name` returns `None` are left out. A process that starts
+/// without a snapshot has a slow start, but no other disadvantage.
 pub fn encode(
     snapshot: &Snapshot,
     owner: &Owner,
     now: ClockReading,
     server_name: impl Fn(ServerId) -> Option<String>,
 ) -> Vec<u8> {
-    let named = |server: &ServerSnapshot| Some((server_name(server.server)?, StoredServer::new(server)));
+    let to_stored = |server: &ServerSnapshot| Some((server_name(server.server)?, StoredServer::new(server)));
     let stored = StoredSnapshot {
-        form: STORED_FORM,
+        form: FORMAT_VERSION,
         owner: owner.clone(),
         taken_at_us: now.wall_us,
         admission_level: snapshot.admission_level,
         median_latency: snapshot.median_latency,
         class_latencies: snapshot.class_latencies.clone(),
         warmed_up_work: snapshot.warm_sent,
-        servers: snapshot.servers.iter().filter_map(named).collect(),
+        servers: snapshot.servers.iter().filter_map(to_stored).collect(),
     };
-    // Its keys are text, so it can always be written as JSON.
+    // Serialization cannot fail, as all keys are strings.
     serde_json::to_vec(&stored).unwrap_or_default()
 }
 
-/// Waits for the snapshot of the process that this one takes over from, if that is fresh.
+/// Waits for a fresh snapshot from the process that this one replaces.
 ///
-/// The wall clock decides if it agrees with the file. If it does not, the earlier process may be gone, or the clock may
-/// have been stepped: then the file is fresh as soon as it is replaced, as a running process does every
-/// [`STORE_INTERVAL`].
+/// A snapshot whose time is within [`MAX_AGE`] of the wall clock is fresh. Otherwise the earlier process may have ended
+/// long ago, or the clock may have been stepped. A running process replaces its file every [`STORE_INTERVAL`], so the
+/// snapshot then counts as fresh once the file has been replaced.
 pub struct SnapshotReader {
     file: PathBuf,
     owner: Owner,
-    /// The text that was found first, if its age is uncertain.
+    /// The text that was read first, if its age is uncertain.
     first_text: Option<Vec<u8>>,
-    /// A file that has not been replaced by then is of a process that is gone.
+    /// The time at which the reader stops waiting for the file to be replaced. If it was not replaced by then, the
+    /// process that wrote it has ended.
     deadline: Instant,
+    /// Whether the reader has returned a snapshot or stopped waiting for one.
     is_finished: bool,
 }
 
 impl SnapshotReader {
-    /// A reader of the owner's snapshot in this folder.
+    /// Creates a reader of the owner's snapshot in `folder`; `now` is the time at which the wait begins.
     pub fn new(folder: &Path, owner: Owner, now: ClockReading) -> Self {
         let deadline = now.monotonic + REPLACEMENT_TIMEOUT;
         SnapshotReader { file: path(folder, &owner), owner, first_text: None, deadline, is_finished: false }
     }
 
-    /// Whether a snapshot may still be found.
+    /// Whether a later poll may still return a snapshot.
     pub fn is_waiting(&self) -> bool {
         !self.is_finished
     }
 
-    /// Reads the file; returns a fresh snapshot once. A file that cannot be accepted is logged and ends the wait.
+    /// Reads the file, and returns the snapshot the first time that it is fresh. A file that is missing or invalid ends
+    /// the wait; an invalid one is logged.
     pub fn poll(
         &mut self,
         now: ClockReading,
@@ -194,7 +201,7 @@
         let stored = self.parse(&text)?;
         if is_replaced || stored.is_fresh(now) {
             self.is_finished = true;
-            return Some(stored.restore(server_id));
+            return Some(stored.into_snapshot(server_id));
         }
         self.first_text = Some(text);
         None
@@ -205,7 +212,7 @@
             Ok(stored) => Some(stored),
             Err(error) => {
                 self.is_finished = true;
-                tracing::warn!(target: "handover", "{} is not taken: {error}", self.file.display());
+                tracing::warn!(target: "handover", "{} is ignored: {error}", self.file.display());
                 None
             }
         }
--- a/agent/src/peers/writer.rs
+++ b/agent/src/peers/writer.rs
@@ -96,7 +96,7 @@
 fn sync_folder(folder: &Path) -> io::Result<()> {
     match File::open(folder)?.sync_all() {
         Err(error) if error.kind() == io::ErrorKind::InvalidInput => Ok(()),
-        result => result,
+        sync_result => sync_result,
     }
 }
 
--- a/agent/tests/upgrade.rs
+++ b/agent/tests/upgrade.rs
@@ -163,7 +163,7 @@
     let mut turned = own.clone();
     turned["settings"]["classes"].as_array_mut().expect("classes").reverse();
     let mut turned = platform.process_of(turned).await;
-    let line = turned.says("is not taken").await;
+    let line = turned.says("is ignored").await;
     assert!(line.contains("learned") && line.contains("classes read save pay, not for"), "{line}");
     assert_eq!(turned.counters().await["cluster_unhealthy"], 1, "the same renderer is still cordoned");
 }
