--- a/agent/src/admin/callers.rs
+++ b/agent/src/admin/callers.rs
@@ -10,7 +10,7 @@
 /// are being answered, it waits for the first that is done.
 const MAX_CALLERS: usize = 32;
 /// Descriptors that are set aside for them, for the listener and for one that is just being accepted.
-pub const DESCRIPTORS: usize = MAX_CALLERS + 2;
+pub const MAX_DESCRIPTORS: usize = MAX_CALLERS + 2;
 
 /// How far the conversation with a caller is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/agent/src/process.rs
+++ b/agent/src/process.rs
@@ -129,7 +129,7 @@
         let bound_address = listener.local_addr().map_err(listen_error)?;
         let shutdown_times = ShutdownTimes::new(&config.settings);
         let (name, admin_address) = (config.name.clone(), config.admin_address);
-        let reserved = RESERVED_DESCRIPTORS + admin_address.map_or(0, |_| callers::DESCRIPTORS);
+        let reserved = RESERVED_DESCRIPTORS + admin_address.map_or(0, |_| callers::MAX_DESCRIPTORS);
         let descriptors = config.max_descriptors.saturating_sub(reserved);
         let server_descriptors = descriptors / SERVERS_SHARE;
         let driver = Driver::start(config, server_descriptors)?;
