--- a/agent/src/admin_api/tests.rs
+++ b/agent/src/admin_api/tests.rs
@@ -2,7 +2,7 @@
 use serde_json::{json, Value};
 
 fn round_trip<T: Serialize + for<'a> Deserialize<'a>>(answer: &Value) -> Value {
-    let parsed: T = serde_json::from_value(answer.clone()).expect("an answer");
+    let parsed: T = serde_json::from_value(answer.clone()).expect("a valid answer");
     serde_json::to_value(parsed).expect("JSON")
 }
 
