--- a/agent/src/admin/call.rs
+++ b/agent/src/admin/call.rs
@@ -1,54 +1,54 @@
-//! The calls of the admin API, as lines of text.
+//! The calls of the admin API and their parser. Each call is one line of text.
 
 use crate::peers::command::Target;
 use thiserror::Error;
 
-/// The calls, for an error that has to list them.
+/// The list of calls in error messages.
 const CALLS: &str =
     "health, counters, renderers, zones, cordon ID, uncordon ID, zone leave NAME, zone return NAME";
 
 /// A call of the admin API.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process serves clients.
+    /// Asks whether this process serves clients.
     Health,
-    /// The counts since the start of the process.
+    /// Asks for the counts since the start of the process.
     Counters,
-    /// Each server on the endpoint list.
+    /// Asks for the state of each server on the endpoint list.
     Renderers,
-    /// Each zone.
+    /// Asks for the state of each zone.
     Zones,
-    /// A command of the operators: cordon a server or evacuate a zone, or undo that.
+    /// Cordons a server or evacuates a zone, or undoes that.
     Command {
-        /// The server or the zone.
+        /// The server or zone that the command applies to.
         target: Target,
-        /// Whether to take it out of use, or back into it.
+        /// Whether to take the target out of use; otherwise it is put back in use.
         is_withdrawn: bool,
     },
 }
 
-/// Why a line is no call.
+/// Why a line is not a valid call.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// The line has no words.
+    /// The line is empty or has only white space.
     #[error("an empty line; calls are {CALLS}")]
     Empty,
     /// There is no call of this name.
     #[error("no call {0:.40}; calls are {CALLS}")]
     Unknown(String),
-    /// The call takes no arguments.
+    /// A call that takes no arguments has one.
     #[error("this call stands alone")]
     UnexpectedArgument,
-    /// A cordon or its end is for one server.
+    /// `cordon` or `uncordon` is not followed by exactly one name.
     #[error("this call takes one renderer's name")]
     ServerExpected,
-    /// A zone's call has a verb and a name.
+    /// `zone` is not followed by `leave` or `return` and exactly one name.
     #[error("this call is zone leave NAME or zone return NAME")]
     ZoneExpected,
 }
 
 impl Call {
-    /// Parses a line without its end.
+    /// Parses a line without its line feed. Words may be separated by any white space.
     pub fn parse(line: &str) -> Result<Self, CallError> {
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[..] {
--- a/agent/src/admin/call/tests.rs
+++ b/agent/src/admin/call/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_call_is_parsed_whatever_space_it_has() {
+fn each_call_is_parsed_with_any_white_space() {
     let command = |target, is_withdrawn| Call::Command { target, is_withdrawn };
     let (server, zone) = (Target::Server("s".into()), Target::Zone("b".into()));
     for (line, call) in [
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_line_that_is_no_call_says_what_was_expected() {
+fn an_invalid_line_yields_an_error_that_says_what_was_expected() {
     for (line, error) in [
         ("", format!("an empty line; calls are {CALLS}")),
         ("drain s", format!("no call drain; calls are {CALLS}")),
--- a/agent/src/admin/mod.rs
+++ b/agent/src/admin/mod.rs
@@ -1,4 +1,5 @@
-//! The admin API of the agent: its address, its calls, and what outlives the process of the operators' commands.
+//! The agent's admin API: its listener and its calls, and the files that pass the operators' commands and the
+//! balancer's snapshot to the next process.
 
 pub mod call;
 pub mod callers;
--- a/agent/src/admin/service.rs
+++ b/agent/src/admin/service.rs
@@ -17,32 +17,33 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Why a command was not carried out, or not safely.
+/// Why a command was not carried out, or not saved.
 #[derive(Debug, Error)]
 pub enum CommandError {
     /// No server of this name has been on the endpoint list.
     #[error("no renderer {0:.80}")]
     UnknownServer(String),
-    /// There is no zone of this name.
+    /// No zone of this name is in the settings or has been on the endpoint list.
     #[error("no zone {0:.80}")]
     UnknownZone(String),
-    /// This process does as commanded, but the next one will not know yet.
+    /// The command is in effect in this process, but not on disk for the next one.
     #[error("it holds in this process alone, an upgrade would forget it: {0}")]
     Unsaved(#[from] UnsavedError),
 }
 
-/// The agent as the operators see and command it.
+/// The agent as the operators inspect and command it.
 pub struct Admin {
     driver: Rc<Driver>,
     cordons: Rc<RefCell<Cordons>>,
     command_writer: Rc<CommandWriter>,
-    /// `None` without a folder to share.
+    /// `None` if the processes share no folder, or its writer thread could not be started.
     snapshots: Option<Rc<Snapshots>>,
 }
 
 impl Admin {
-    /// Starts with the commands that were given to another process of this agent. `folder` is where the processes share
-    /// their files; `agent` and `listen` are the agent's name and clients' address.
+    /// Starts the writer thread and tasks, and applies the commands that were given to another process of this agent.
+    /// `folder` is where the processes share their files; `agent` is the agent's name, and `listen` the address on
+    /// which it accepts clients.
     pub fn new(driver: Rc<Driver>, folder: Option<PathBuf>, agent: String, listen: String) -> Rc<Self> {
         let (zones, classes) = (driver.names.zones.clone(), driver.names.classes.clone());
         let owner = Owner { agent, listen, zones, classes };
@@ -69,16 +70,21 @@
 
     /// The counts since the start of the process.
     pub fn counters(&self) -> Counters {
-        let fleet = self.driver.view().endpoint_counts();
-        metrics::report(&self.driver.counts(), &self.driver.names.classes, fleet.listed, fleet.avoided)
+        let endpoints = self.driver.view().endpoint_counts();
+        metrics::report(
+            &self.driver.counts(),
+            &self.driver.names.classes,
+            endpoints.listed,
+            endpoints.avoided,
+        )
     }
 
-    /// The number of commands that would not outlive this process yet.
+    /// The number of commands that were given to this process and are not on disk yet.
     fn unsaved_count(&self) -> u64 {
         self.cordons.borrow().unsaved_count() as u64
     }
 
-    /// Each server on the endpoint list.
+    /// The servers on the endpoint list, at most [`MAX_RENDERERS`].
     pub fn renderers(&self) -> Renderers {
         let mut renderers = self.driver.view().renderers();
         let left_out = renderers.len().saturating_sub(MAX_RENDERERS) as u64;
@@ -86,19 +92,19 @@
         Renderers { renderers, left_out, unsaved: self.unsaved_count() }
     }
 
-    /// The same summed by zone, with the attempts of servers that are no longer on the list.
+    /// The zones, at most [`MAX_ZONES`]. Their attempts include those at servers that have left the endpoint list.
     pub fn zones(&self) -> Zones {
         let zones = self.zone_sums();
         let mut phases = self.driver.view().zone_phases();
         let left_out = zones.len().saturating_sub(MAX_ZONES) as u64;
         let cordons = self.cordons.borrow();
-        let complete = |(name, sums): (String, Zone)| Zone {
+        let with_status = |(name, sums): (String, Zone)| Zone {
             is_evacuated: cordons.is_withdrawn(&Target::Zone(name.clone())),
             phases: phases.remove(&name).unwrap_or_default(),
             zone: name,
             ..sums
         };
-        let zones = zones.into_iter().take(MAX_ZONES).map(complete).collect();
+        let zones = zones.into_iter().take(MAX_ZONES).map(with_status).collect();
         Zones { zones, left_out, unsaved: self.unsaved_count() }
     }
 
@@ -126,12 +132,13 @@
         zones
     }
 
-    /// Carries out a command at once, and waits until it will outlive this process. A command that is repeated waits for
-    /// the first one's write.
+    /// Applies a command at once, and waits until it is on disk. A command that repeats the latest one on its target
+    /// only waits.
     ///
     /// # Errors
     ///
-    /// If there is no such target, or the command is not on disk: it holds in this process then.
+    /// If the target is unknown; or if the command is not on disk yet, in which case it is still in effect in this
+    /// process.
     pub async fn execute(&self, target: Target, is_withdrawn: bool) -> Result<(), CommandError> {
         self.poll_commands();
         self.check_known(&target)?;
@@ -146,6 +153,7 @@
         Ok(self.command_writer.wait_until_saved(revision).await?)
     }
 
+    /// Checks that the target is known, either from an earlier command or from the settings and the endpoint list.
     fn check_known(&self, target: &Target) -> Result<(), CommandError> {
         if self.cordons.borrow().has_command(target) {
             return Ok(());
@@ -173,6 +181,7 @@
         }
     }
 
+    /// Logs a command and applies it to the balancer.
     fn apply(&self, target: &Target, is_withdrawn: bool, given_at: Time) {
         match target {
             Target::Server(name) => {
@@ -188,7 +197,7 @@
         }
     }
 
-    /// Restores the earlier process's snapshot, once it is known to be fresh.
+    /// Restores the earlier process's snapshot once it is known to be fresh.
     pub fn poll_snapshot(&self) {
         if let Some(snapshots) = &self.snapshots {
             snapshots.poll();
