--- a/agent/src/admin/callers.rs
+++ b/agent/src/admin/callers.rs
@@ -1,4 +1,4 @@
-//! The connections of the admin API: how many there may be, and which one is closed for the next.
+//! The connections of the admin API: limits their number, and closes one to make way for a new one.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -6,71 +6,78 @@
 use std::sync::Arc;
 use tokio::sync::{watch, AcquireError, OwnedSemaphorePermit, Semaphore, SemaphorePermit};
 
-/// Connections at a time. For one more, the oldest is closed that has its answer or has not finished its call; where all
-/// are being answered, it waits for the first that is done.
-const MAX_CALLERS: usize = 32;
-/// Descriptors that are set aside for them, for the listener and for one that is just being accepted.
-pub const MAX_DESCRIPTORS: usize = MAX_CALLERS + 2;
+/// The maximum number of connections. To admit one more, the oldest one in [`ConnectionState::Closing`] is ended, or
+/// else the oldest whose call is still being read. If all are being answered, the new one waits until one of them ends.
+const MAX_CONNECTIONS: usize = 32;
+/// The number of descriptors reserved for the admin API: one per connection, one for the listener and one for a
+/// connection that has been accepted and waits for a slot.
+pub const MAX_DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
 
-/// How far the conversation with a caller is.
+/// The state of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
-    /// Its call is being read.
+pub enum ConnectionState {
+    /// The call is being read.
     Reading,
-    /// Its answer is being written, and is never cut short for another caller.
+    /// The call is being carried out or its answer written. The connection is not closed for another one now.
     Answering,
-    /// Its answer is written, and it has still to end its own side.
+    /// The answer is written, and the caller has not closed its side yet.
     Closing,
 }
 
-/// A caller as the listener sees it.
+/// The listener's handle to a connected caller.
 struct ConnectedCaller {
-    stage: Rc<Cell<Stage>>,
-    /// Says that its place is needed.
+    state: Rc<Cell<ConnectionState>>,
+    /// Set to true when its slot is needed.
     evicted: watch::Sender<bool>,
 }
 
-/// The same caller as its own task sees it. Its place is free again once this is dropped.
+/// The handle to a caller that its own task holds. Dropping it frees the slot.
 pub struct Caller {
-    stage: Rc<Cell<Stage>>,
+    state: Rc<Cell<ConnectionState>>,
     evicted: watch::Receiver<bool>,
-    turn: Arc<Semaphore>,
-    _place: OwnedSemaphorePermit,
+    execution: Arc<Semaphore>,
+    _slot: OwnedSemaphorePermit,
 }
 
-/// The connected callers, the oldest first.
+/// The connected callers.
 pub struct Callers {
-    places: Arc<Semaphore>,
-    /// Held by the one call that is being carried out: metrics of many servers take their time, and the application's
-    /// requests are served between any two calls.
-    turn: Arc<Semaphore>,
+    slots: Arc<Semaphore>,
+    /// Held by the call that is being carried out, one at a time: collecting the metrics of many servers takes a while,
+    /// and the application's requests must be served between two calls.
+    execution: Arc<Semaphore>,
+    /// The oldest first.
     connected: VecDeque<ConnectedCaller>,
 }
 
 impl Default for Callers {
     fn default() -> Self {
-        let (places, turn) = (Arc::new(Semaphore::new(MAX_CALLERS)), Arc::new(Semaphore::new(1)));
-        Callers { places, turn, connected: VecDeque::new() }
+        let (slots, execution) = (Arc::new(Semaphore::new(MAX_CONNECTIONS)), Arc::new(Semaphore::new(1)));
+        Callers { slots, execution, connected: VecDeque::new() }
     }
 }
 
 impl Callers {
-    /// A place for one more, as soon as there is one.
+    /// Waits for a slot for a new caller, and evicts one if there is none free.
+    ///
+    /// # Errors
+    ///
+    /// Never, as the semaphore is not closed.
     pub async fn admit(&mut self) -> Result<Caller, AcquireError> {
         self.connected.retain(|caller| !caller.evicted.is_closed());
-        if self.places.available_permits() == 0 {
+        if self.slots.available_permits() == 0 {
             self.evict_oldest();
         }
-        let place = self.places.clone().acquire_owned().await?;
-        let stage = Rc::new(Cell::new(Stage::Reading));
+        let slot = self.slots.clone().acquire_owned().await?;
+        let state = Rc::new(Cell::new(ConnectionState::Reading));
         let (evicted, evicted_receiver) = watch::channel(false);
-        self.connected.push_back(ConnectedCaller { stage: stage.clone(), evicted });
-        Ok(Caller { stage, evicted: evicted_receiver, turn: self.turn.clone(), _place: place })
+        self.connected.push_back(ConnectedCaller { state: state.clone(), evicted });
+        Ok(Caller { state, evicted: evicted_receiver, execution: self.execution.clone(), _slot: slot })
     }
 
+    /// Tells the oldest caller that is closing to end, or else the oldest whose call is still being read.
     fn evict_oldest(&mut self) {
-        let oldest_in = |stage| self.connected.iter().position(|caller| caller.stage.get() == stage);
-        let oldest = oldest_in(Stage::Closing).or_else(|| oldest_in(Stage::Reading));
+        let oldest_in = |state| self.connected.iter().position(|caller| caller.state.get() == state);
+        let oldest = oldest_in(ConnectionState::Closing).or_else(|| oldest_in(ConnectionState::Reading));
         if let Some(caller) = oldest.and_then(|oldest| self.connected.remove(oldest)) {
             caller.evicted.send_replace(true);
         }
@@ -78,19 +85,23 @@
 }
 
 impl Caller {
-    /// Notes how far the conversation is.
-    pub fn enter(&self, stage: Stage) {
-        self.stage.set(stage);
+    /// Sets the state of the connection.
+    pub fn set_state(&self, state: ConnectionState) {
+        self.state.set(state);
     }
 
-    /// Waits until its place is needed.
+    /// Waits until this caller is told to free its slot.
     pub async fn wait_for_eviction(&mut self) {
-        // The listener lasts as long as the process, and notifies each caller before it drops the sender.
+        // This cannot fail: the listener runs as long as the process, and sends true before it drops the sender.
         let _ = self.evicted.wait_for(|is_evicted| *is_evicted).await;
     }
 
-    /// Waits until no other call is being carried out.
-    pub async fn wait_for_turn(&self) -> Result<SemaphorePermit<'_>, AcquireError> {
-        self.turn.acquire().await
+    /// Waits until no other call is being carried out. The next one can begin when the permit is dropped.
+    ///
+    /// # Errors
+    ///
+    /// Never, as the semaphore is not closed.
+    pub async fn acquire_execution_permit(&self) -> Result<SemaphorePermit<'_>, AcquireError> {
+        self.execution.acquire().await
     }
 }
--- a/agent/src/admin/command_writer.rs
+++ b/agent/src/admin/command_writer.rs
@@ -1,7 +1,7 @@
-//! Writes the operators' commands until they are on disk.
+//! Writes the operators' commands to disk.
 //!
-//! A write that fails is retried with backoff for as long as the process runs. The log says so once, and once more when
-//! all commands are on disk. Whoever waits for a command gets the result of the next write that contains it.
+//! A failed write is retried with exponential backoff for as long as the process runs. The first failure is logged, and
+//! so is the next success. A call that waits for a command gets the result of the next write that contains it.
 
 use crate::peers::clock_reading::ClockReading;
 use crate::peers::cordons::{Cordons, PendingWrite};
@@ -15,43 +15,45 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::timeout;
 
-/// The pause after the first failure; each further one doubles it up to the longest.
-const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(100);
-const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
-/// By then the pause has long reached its maximum; more doublings would overflow.
+/// The delay after the first failure. Each further failure doubles it, up to [`MAX_RETRY_DELAY`].
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// The number of doublings after which the delay grows no further, so that the shift cannot overflow. The delay has
+/// reached [`MAX_RETRY_DELAY`] long before.
 const MAX_DOUBLINGS: u32 = 16;
-/// How long a call waits for the disk: operators are owed an answer within 1 s.
+/// How long a call waits for the disk. Operators must get an answer within 1 s.
 const SAVE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Why a command is not on disk yet.
 #[derive(Debug, Clone, Error)]
 pub enum UnsavedError {
-    /// The write failed.
+    /// The last write failed, and it is retried.
     #[error("{0}; it is written again until it is on disk")]
     Failed(#[source] Arc<io::Error>),
-    /// The disk has not answered yet.
+    /// The write has not finished yet.
     #[error("the disk has not answered yet; it is written until it is on disk")]
     Pending,
 }
 
-/// A write that failed.
+/// A failed write.
 #[derive(Debug, Clone)]
-struct Failure {
+struct FailedWrite {
+    /// The latest revision in the text that could not be written.
     revision: u64,
     error: Arc<io::Error>,
 }
 
-/// The results of the last writes.
+/// The results of the latest writes.
 #[derive(Debug, Clone, Default)]
-struct Progress {
+struct WriteProgress {
     /// The latest revision that is on disk.
     saved_revision: u64,
     /// The latest write that failed.
-    failure: Option<Failure>,
+    failure: Option<FailedWrite>,
 }
 
-impl Progress {
-    /// The result of the write of a revision; `None` while there is none.
+impl WriteProgress {
+    /// The result of writing a revision; `None` while no write that contains it has ended.
     fn result(&self, revision: u64) -> Option<Result<(), UnsavedError>> {
         if self.saved_revision >= revision {
             return Some(Ok(()));
@@ -61,15 +63,15 @@
     }
 }
 
-/// What those who wait for commands share with the task that writes them.
+/// Shared between the task that writes the commands and the calls that wait for a command to be on disk.
 #[derive(Default)]
 pub struct CommandWriter {
-    progress: watch::Sender<Progress>,
+    progress: watch::Sender<WriteProgress>,
     wake: Notify,
 }
 
 impl CommandWriter {
-    /// Wakes the task, as there is something to write.
+    /// Wakes the task because there are commands to write.
     pub fn wake(&self) {
         self.wake.notify_one();
     }
@@ -78,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// If the next write of it fails, or takes too long.
+    /// If the next write that contains it fails or takes longer than [`SAVE_TIMEOUT`].
     pub async fn wait_until_saved(&self, revision: u64) -> Result<(), UnsavedError> {
         let mut progress = self.progress.subscribe();
         if progress.borrow_and_update().saved_revision >= revision {
@@ -96,12 +98,12 @@
         timeout(SAVE_TIMEOUT, result).await.unwrap_or(Err(UnsavedError::Pending))
     }
 
-    /// Writes what there is to write; never ends.
+    /// Writes the commands whenever those on disk are out of date. Never returns.
     pub async fn run(self: Rc<Self>, cordons: Rc<RefCell<Cordons>>, writer: Rc<Writer>) {
-        let mut failures = 0;
+        let mut failure_count = 0;
         loop {
-            let draft = cordons.borrow_mut().pending_write(ClockReading::now());
-            let Some(PendingWrite { revision, file, text }) = draft else {
+            let pending_write = cordons.borrow_mut().pending_write(ClockReading::now());
+            let Some(PendingWrite { revision, file, text }) = pending_write else {
                 self.wake.notified().await;
                 continue;
             };
@@ -109,40 +111,40 @@
                 Ok(()) => {
                     cordons.borrow_mut().mark_saved(revision);
                     self.progress.send_modify(|progress| progress.saved_revision = revision);
-                    log_saved(failures);
-                    failures = 0;
+                    log_saved(failure_count);
+                    failure_count = 0;
                 }
                 Err(error) => {
-                    log_failed(&error, failures, cordons.borrow().unsaved_count());
-                    let failure = Failure { revision, error: Arc::new(error) };
+                    log_failed(&error, failure_count, cordons.borrow().unsaved_count());
+                    let failure = FailedWrite { revision, error: Arc::new(error) };
                     self.progress.send_modify(|progress| progress.failure = Some(failure));
-                    self.wait_for_retry(failures).await;
-                    failures += 1;
+                    self.wait_for_retry(failure_count).await;
+                    failure_count += 1;
                 }
             }
         }
     }
 
-    /// Pauses after so many earlier failures. A new command is written at once.
-    async fn wait_for_retry(&self, failures: u32) {
-        let doubled = FIRST_RETRY_PAUSE.saturating_mul(1 << failures.min(MAX_DOUBLINGS));
-        let _ = timeout(doubled.min(MAX_RETRY_PAUSE), self.wake.notified()).await;
+    /// Waits before the next retry, after `failure_count` earlier failures. A new command ends the wait.
+    async fn wait_for_retry(&self, failure_count: u32) {
+        let delay = INITIAL_RETRY_DELAY.saturating_mul(1 << failure_count.min(MAX_DOUBLINGS));
+        let _ = timeout(delay.min(MAX_RETRY_DELAY), self.wake.notified()).await;
     }
 }
 
-/// Logs that all is on disk again, after the failures if there were any.
-fn log_saved(failures: u32) {
-    if failures > 0 {
-        tracing::info!(target: "admin", "the operator commands are on disk, after {failures} failed writes");
+/// Logs a successful write if failed ones preceded it.
+fn log_saved(failure_count: u32) {
+    if failure_count > 0 {
+        tracing::info!(target: "admin", "the operator commands are on disk, after {failure_count} failed writes");
     }
 }
 
-/// Logs a failed write unless there was one before it.
-fn log_failed(error: &io::Error, failures: u32, unsaved_count: usize) {
-    if failures == 0 {
+/// Logs a failed write unless another failed one preceded it.
+fn log_failed(error: &io::Error, failure_count: u32, unsaved_count: usize) {
+    if failure_count == 0 {
         tracing::warn!(
             target: "admin",
-            "{unsaved_count} operator commands are not on disk, an upgrade would forget them: {error}; they are written again until they are"
+            "{unsaved_count} operator commands are not on disk and would be lost in an upgrade: {error}; the write is retried until they are"
         );
     }
 }
--- a/agent/src/admin/listener.rs
+++ b/agent/src/admin/listener.rs
@@ -1,8 +1,8 @@
-//! The admin address: one call a connection, as a line, and one answer. It reads the call and writes the answer, and
-//! [`Admin`] carries the call out.
+//! The listener of the admin API. Each connection carries one call, which is a line of text, and one answer. The call
+//! is read and the answer written here; [`Admin`] carries the call out.
 
 use super::call::Call;
-use super::callers::{Caller, Callers, Stage};
+use super::callers::{Caller, Callers, ConnectionState};
 use super::service::Admin;
 use serde::Serialize;
 use std::future::{poll_fn, Future};
@@ -18,29 +18,29 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout};
 
-/// The longest call; no server's name is nearly as long.
+/// The length of the longest call. No server's name is nearly as long.
 const MAX_LINE_BYTES: usize = 1024;
-/// A call that is not complete by then is given up.
+/// How long a caller has to send its call.
 const LINE_TIMEOUT: Duration = Duration::from_secs(6);
-/// What a caller gets to read its answer and to close.
+/// How long a caller has to read its answer and to close the connection.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a bind or an accept that failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// What is read at a time of the call.
-const READ_BYTES: usize = 256;
-/// What is read and discarded at a time after the answer.
-const DISCARD_BYTES: usize = 4 << 10;
+/// The delay after a failed bind or accept.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The size of the buffer with which a call is read.
+const READ_BUFFER_BYTES: usize = 256;
+/// The size of the buffer with which data after the call is read and discarded.
+const DISCARD_BUFFER_BYTES: usize = 4 << 10;
 /// The answer to a command that was carried out, and to `health` while clients are served.
-const DONE: &str = "done\n";
+const DONE_ANSWER: &str = "done\n";
 
-/// Why no call was read from a connection.
+/// Why no call could be read from a connection.
 #[derive(Debug, Error)]
 enum ReadError {
-    /// Half of a name may be another name, so a call without the end of its line is not carried out.
+    /// A line without a line feed may be truncated in the middle of a name, which could leave another valid name.
     #[error("the line has no end")]
     Unterminated,
     #[error("the line is no text")]
-    NotText(#[source] std::string::FromUtf8Error),
+    InvalidUtf8(#[source] std::string::FromUtf8Error),
     #[error("the line is too long")]
     TooLong,
     #[error("no whole line in time")]
@@ -49,19 +49,19 @@
     Evicted,
 }
 
-/// Listens at the address for as long as the agent runs. It is tried again until it can be bound, as clients are served
-/// without it.
+/// Serves the admin API for as long as the agent runs. Binding the address is retried until it succeeds, as clients can
+/// be served without the admin API.
 pub async fn listen(admin: Rc<Admin>, address: SocketAddr) {
     let listener = bind(address).await;
     tracing::info!(target: "admin", "answers on {}", listener.local_addr().unwrap_or(address));
     let mut callers = Callers::default();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
         let Ok(caller) = callers.admit().await else { return };
-        tokio::task::spawn_local(converse(admin.clone(), stream, caller));
+        tokio::task::spawn_local(handle_connection(admin.clone(), stream, caller));
     }
 }
 
@@ -76,27 +76,28 @@
             }
             Err(_) => {}
         }
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-/// Reads one call and answers it.
-async fn converse(admin: Rc<Admin>, mut stream: TcpStream, mut caller: Caller) {
+/// Reads the call of one connection and answers it.
+async fn handle_connection(admin: Rc<Admin>, mut stream: TcpStream, mut caller: Caller) {
     let answer = match read_call(&mut stream, &mut caller).await {
-        Ok(Some(line)) => answer_in_turn(&admin, &caller, &line).await,
+        Ok(Some(line)) => execute_call(&admin, &caller, &line).await,
         Ok(None) => return,
         Err(error) => error_line(&error),
     };
-    // A caller that has gone gets no answer; one that still sends is read to its end, or the close would discard the
-    // answer on its side.
+    // If this fails or times out, the caller has gone or is too slow, and gets no answer. What a caller still sends is
+    // read until it closes its side: closing a socket with unread data resets the connection, and the caller might lose
+    // the answer.
     let _ = timeout(ANSWER_TIMEOUT, write_answer(&mut stream, &mut caller, &answer)).await;
 }
 
-/// The line of a connection; `None` if its caller closed before it sent anything.
+/// Reads the line of a connection as [`read_line`] does, unless it takes too long or the caller is evicted.
 async fn read_call(stream: &mut TcpStream, caller: &mut Caller) -> Result<Option<String>, ReadError> {
     let evicted = async {
         caller.wait_for_eviction().await;
-        // The runtime may not have polled the socket yet: a call that has arrived by now is answered.
+        // The runtime may not have polled the socket yet. A call that has already arrived is still answered.
         yield_now().await;
     };
     tokio::select! {
@@ -106,19 +107,20 @@
     }
 }
 
-/// The one line of a connection, without its end. A connection that breaks is as one that closed without a call.
+/// Reads the line of a connection, without its line feed; `None` if the caller closed the connection before it sent
+/// anything, or if the connection broke.
 async fn read_line(stream: &mut TcpStream) -> Result<Option<String>, ReadError> {
     let mut line = Vec::new();
-    let mut piece = [0; READ_BYTES];
+    let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
-        let Ok(length) = stream.read(&mut piece).await else { return Ok(None) };
+        let Ok(length) = stream.read(&mut buffer).await else { return Ok(None) };
         if length == 0 {
             return if line.is_empty() { Ok(None) } else { Err(ReadError::Unterminated) };
         }
-        line.extend_from_slice(&piece[..length]);
+        line.extend_from_slice(&buffer[..length]);
         if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
             line.truncate(end);
-            return String::from_utf8(line).map(Some).map_err(ReadError::NotText);
+            return String::from_utf8(line).map(Some).map_err(ReadError::InvalidUtf8);
         }
         if line.len() > MAX_LINE_BYTES {
             return Err(ReadError::TooLong);
@@ -126,66 +128,70 @@
     }
 }
 
-/// Carries a call out when it is its turn. From here on its caller keeps its place.
-async fn answer_in_turn(admin: &Admin, caller: &Caller, line: &str) -> String {
-    caller.enter(Stage::Answering);
-    let turn = caller.wait_for_turn().await;
+/// Carries a call out as soon as no other call is being carried out. The caller is not evicted
+/// before it has its answer.
+async fn execute_call(admin: &Admin, caller: &Caller, line: &str) -> String {
+    caller.set_state(ConnectionState::Answering);
+    let permit = caller.acquire_execution_permit().await;
     let mut answer = pin!(answer(admin, line));
-    // The first poll takes the processor time; a call that goes on waits for the disk, and others have their turn.
+    // The processor time is spent in the first poll. A call that is pending after it waits for the disk, and other
+    // calls may be carried out meanwhile.
     let first_poll = poll_fn(|context| Poll::Ready(answer.as_mut().poll(context))).await;
     yield_now().await;
-    drop(turn);
+    drop(permit);
     match first_poll {
         Poll::Ready(answer) => answer,
         Poll::Pending => answer.await,
     }
 }
 
+/// Writes the answer, and waits until the caller closes its side or is evicted.
 async fn write_answer(stream: &mut TcpStream, caller: &mut Caller, answer: &str) -> io::Result<()> {
-    caller.enter(Stage::Answering);
+    caller.set_state(ConnectionState::Answering);
     stream.write_all(answer.as_bytes()).await?;
     stream.shutdown().await?;
-    caller.enter(Stage::Closing);
+    caller.set_state(ConnectionState::Closing);
     tokio::select! {
         biased;
-        ended = discard(stream) => ended,
+        result = discard(stream) => result,
         () = caller.wait_for_eviction() => Ok(()),
     }
 }
 
-/// Reads and discards what a caller sends after its call, in turn with everything else that the process does.
+/// Reads and discards what a caller sends after its call. Yields after each read, so that the other tasks of the
+/// process run in between.
 async fn discard(stream: &mut TcpStream) -> io::Result<()> {
-    let mut piece = [0; DISCARD_BYTES];
-    while stream.read(&mut piece).await? > 0 {
+    let mut buffer = [0; DISCARD_BUFFER_BYTES];
+    while stream.read(&mut buffer).await? > 0 {
         yield_now().await;
     }
     Ok(())
 }
 
-/// The complete answer to a line.
+/// Carries out the call in a line, and returns the complete answer.
 async fn answer(admin: &Admin, line: &str) -> String {
     match Call::parse(line) {
-        Ok(Call::Health) if admin.serves_clients() => DONE.to_owned(),
+        Ok(Call::Health) if admin.serves_clients() => DONE_ANSWER.to_owned(),
         Ok(Call::Health) => error_line(&"no clients are taken yet"),
         Ok(Call::Counters) => metrics_lines(&admin.counters()),
         Ok(Call::Renderers) => metrics_lines(&admin.renderers()),
         Ok(Call::Zones) => metrics_lines(&admin.zones()),
         Ok(Call::Command { target, is_withdrawn }) => match admin.execute(target, is_withdrawn).await {
-            Ok(()) => DONE.to_owned(),
+            Ok(()) => DONE_ANSWER.to_owned(),
             Err(error) => error_line(&error),
         },
         Err(error) => error_line(&error),
     }
 }
 
-/// An error as the answer to a call.
+/// Formats an error as the answer to a call.
 fn error_line(error: &impl std::fmt::Display) -> String {
     format!("error {error}\n")
 }
 
-/// Metrics as one line of JSON, and the line that ends them.
+/// Formats metrics as one line of JSON, followed by the line that ends the answer.
 fn metrics_lines(metrics: &impl Serialize) -> String {
-    // The keys of all metrics are text, so they can always be written as JSON.
+    // Serialization cannot fail, as all keys are strings.
     let line = serde_json::to_string(metrics).unwrap_or_default();
     format!("{line}\nend\n")
 }
