--- a/agent/src/admin/callers.rs
+++ b/agent/src/admin/callers.rs
@@ -74,7 +74,8 @@
         Ok(Caller { state, evicted: evicted_receiver, execution: self.execution.clone(), _slot: slot })
     }
 
-    /// Tells the oldest caller that is closing to end, or else the oldest whose call is still being read.
+    /// Evicts the oldest caller that is closing, or else the oldest whose call is still being read. Its own task then
+    /// closes the connection.
     fn evict_oldest(&mut self) {
         let oldest_in = |state| self.connected.iter().position(|caller| caller.state.get() == state);
         let oldest = oldest_in(ConnectionState::Closing).or_else(|| oldest_in(ConnectionState::Reading));
@@ -90,7 +91,7 @@
         self.state.set(state);
     }
 
-    /// Waits until this caller is told to free its slot.
+    /// Waits until this caller is evicted, as its slot is needed.
     pub async fn wait_for_eviction(&mut self) {
         // This cannot fail: the listener runs as long as the process, and sends true before it drops the sender.
         let _ = self.evicted.wait_for(|is_evicted| *is_evicted).await;
--- a/agent/src/admin/command_writer.rs
+++ b/agent/src/admin/command_writer.rs
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// If the next write that contains it fails or takes longer than [`SAVE_TIMEOUT`].
+    /// If the next write that contains it fails or takes longer than `SAVE_TIMEOUT`.
     pub async fn wait_until_saved(&self, revision: u64) -> Result<(), UnsavedError> {
         let mut progress = self.progress.subscribe();
         if progress.borrow_and_update().saved_revision >= revision {
--- a/agent/src/admin/listener.rs
+++ b/agent/src/admin/listener.rs
@@ -65,6 +65,7 @@
     }
 }
 
+/// Binds the address, and retries until it succeeds. Only the first failure is logged.
 async fn bind(address: SocketAddr) -> TcpListener {
     let mut is_failure_logged = false;
     loop {
@@ -128,8 +129,8 @@
     }
 }
 
-/// Carries a call out as soon as no other call is being carried out. The caller is not evicted
-/// before it has its answer.
+/// Carries a call out as soon as no other call is being carried out. The caller is not evicted before it
+/// has its answer.
 async fn execute_call(admin: &Admin, caller: &Caller, line: &str) -> String {
     caller.set_state(ConnectionState::Answering);
     let permit = caller.acquire_execution_permit().await;
--- a/agent/src/peers/cordons.rs
+++ b/agent/src/peers/cordons.rs
@@ -139,7 +139,7 @@
     }
 
     /// The new version of the file, if the one on disk is out of date. Drops the commands that put a target back in use
-    /// more than [`UNCORDON_RETENTION`] ago.
+    /// more than `UNCORDON_RETENTION` ago.
     pub fn pending_write(&mut self, now: ClockReading) -> Option<PendingWrite> {
         let file = self.file.clone().filter(|_| !self.is_saved())?;
         let is_recent = |known: &KnownCommand| {
--- a/agent/src/peers/file.rs
+++ b/agent/src/peers/file.rs
@@ -26,7 +26,7 @@
 /// Why the text of a shared file is not accepted.
 #[derive(Debug, Error)]
 pub enum ContentsError {
-    /// The text is longer than [`MAX_FILE_BYTES`].
+    /// The text is longer than `MAX_FILE_BYTES`.
     #[error("it is longer than {MAX_FILE_BYTES} bytes")]
     TooLong,
     /// The text is not JSON with the expected fields.
--- a/agent/src/peers/snapshot.rs
+++ b/agent/src/peers/snapshot.rs
@@ -11,7 +11,7 @@
 
 /// How often a running process replaces its snapshot.
 pub const STORE_INTERVAL: Duration = Duration::from_secs(1);
-/// An older snapshot is not restored.
+/// A snapshot that is older by the wall clock does not count as fresh.
 const MAX_AGE: Duration = Duration::from_secs(5);
 /// How long a new process waits for a running one to replace the snapshot. Longer than [`STORE_INTERVAL`], so that a
 /// slow disk has time.
@@ -19,7 +19,8 @@
 /// The kind in the name of the file, which is part of the file format.
 const FILE_KIND: &str = "learned";
 
-/// The contents of the file. The previous version of the agent reads it too, so the JSON keys must not change.
+/// A [`Snapshot`] as it is stored, with values in the same units. The previous version of the agent reads the file too,
+/// so the JSON keys must not change.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StoredSnapshot {
@@ -154,7 +155,7 @@
 
 /// Waits for a fresh snapshot from the process that this one replaces.
 ///
-/// A snapshot whose time is within [`MAX_AGE`] of the wall clock is fresh. Otherwise the earlier process may have ended
+/// A snapshot whose time is within `MAX_AGE` of the wall clock is fresh. Otherwise the earlier process may have ended
 /// long ago, or the clock may have been stepped. A running process replaces its file every [`STORE_INTERVAL`], so the
 /// snapshot then counts as fresh once the file has been replaced.
 pub struct SnapshotReader {
@@ -207,6 +208,7 @@
         None
     }
 
+    /// Parses the text of the file. An invalid text is logged and ends the wait.
     fn parse(&mut self, text: &[u8]) -> Option<StoredSnapshot> {
         match file::parse(text, &self.owner, |found| *found == self.owner) {
             Ok(stored) => Some(stored),
