--- a/src/connections.rs
+++ b/src/connections.rs
@@ -32,20 +32,20 @@
     }
 
     /// Attempts that the server can work on: their requests have been received completely.
-    pub(crate) fn at_work(&self) -> u32 {
+    pub(crate) fn fully_received(&self) -> u32 {
         self.in_flight - self.uploading
     }
 
     /// Whether an idle connection is certainly open still.
-    pub(crate) fn has_idle(&self, now: Time, keepalive: Span) -> bool {
+    pub(crate) fn has_reusable_connection(&self, now: Time, keepalive: Span) -> bool {
         self.idle > 0 && now.since(self.idle_since) < keepalive * CERTAIN_KEEPALIVE
     }
 
     /// Takes in that an attempt is sent, over an idle connection or a new one.
-    pub(crate) fn record_send(&mut self, is_uploading: bool, takes_idle: bool) {
+    pub(crate) fn record_send(&mut self, is_uploading: bool, reuses_connection: bool) {
         self.in_flight += 1;
         self.uploading += u32::from(is_uploading);
-        self.idle = if takes_idle { self.idle - 1 } else { 0 };
+        self.idle = if reuses_connection { self.idle - 1 } else { 0 };
     }
 
     /// Takes in that the body of a request has been received completely.
--- a/src/connections/tests.rs
+++ b/src/connections/tests.rs
@@ -9,7 +9,7 @@
         let mut connections = ServerConnections::new(NOW);
         connections.record_send(false, false);
         connections.record_end(NOW, false, outcome);
-        connections.has_idle(NOW + wait, KEEPALIVE)
+        connections.has_reusable_connection(NOW + wait, KEEPALIVE)
     };
     assert!(has_idle_after(Outcome::Success, KEEPALIVE * 0.4));
     assert!(!has_idle_after(Outcome::Success, KEEPALIVE * 0.5));
@@ -21,11 +21,11 @@
     let mut connections = ServerConnections::new(NOW);
     connections.record_send(true, false);
     connections.record_send(false, false);
-    assert_eq!((connections.in_flight(), connections.at_work()), (2, 1));
+    assert_eq!((connections.in_flight(), connections.fully_received()), (2, 1));
     connections.record_upload_complete();
-    assert_eq!(connections.at_work(), 2);
+    assert_eq!(connections.fully_received(), 2);
     connections.record_end(NOW, false, Outcome::TimedOut);
-    assert_eq!((connections.in_flight(), connections.at_work()), (1, 1));
+    assert_eq!((connections.in_flight(), connections.fully_received()), (1, 1));
 }
 
 #[test]
@@ -35,6 +35,6 @@
     connections.record_send(false, false);
     connections.record_end(NOW, false, Outcome::Success);
     connections.restart(NOW);
-    assert!(!connections.has_idle(NOW, KEEPALIVE));
+    assert!(!connections.has_reusable_connection(NOW, KEEPALIVE));
     assert_eq!(connections.in_flight(), 1);
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -89,7 +89,7 @@
             return server.limit.is_rested(now)
                 && budget.has_sparse_budget(now, slow_start, factor, open_servers, request.mean_work);
         }
-        server.limit.has_capacity(now, self.level.value(), factor, server.connections.at_work())
+        server.limit.has_capacity(now, self.level.value(), factor, server.connections.fully_received())
             && budget.has_budget(now, slow_start, factor, open_servers, request.work)
     }
 
@@ -128,11 +128,12 @@
 
     /// Takes in that a server is sent an attempt with this work; true if it is a probation request.
     pub(crate) fn record_send(&mut self, now: Time, slot: usize, work: f64, is_uploading: bool) -> bool {
-        let takes_idle = self.server(slot).connections.has_idle(now, self.settings.keepalive);
+        let reuses_connection =
+            self.server(slot).connections.has_reusable_connection(now, self.settings.keepalive);
         let factor = self.slow_start_factor(now, self.server(slot));
         let open_servers = self.endpoints.open().len();
         let server = self.endpoints.server_mut(slot);
-        server.connections.record_send(is_uploading, takes_idle);
+        server.connections.record_send(is_uploading, reuses_connection);
         server.report.record_send();
         self.slow_start.record_send(now, &mut server.slow_start, factor, open_servers, work);
         self.slow_start.index(slot, &server.slow_start, server.endpoint.started, server.is_open);
@@ -207,7 +208,7 @@
         let server = self.endpoints.server_mut(attempt.server);
         let idle_latency = self.latencies.idle(attempt.class, &server.latency);
         let responds = now.since(server.health.last_response_at()) < latency_objective;
-        let has_requests = server.connections.at_work() > 0;
+        let has_requests = server.connections.fully_received() > 0;
         if outcome == Outcome::ConnectFailed && is_sparse && has_requests && responds {
             // While it responds on other connections it is full and neither dead nor cut off.
             server.limit.rest(now, latency_objective);
@@ -229,7 +230,7 @@
                 smoothed_latency: server.latency.smoothed(),
                 idle_latency,
                 usual_latency: self.latencies.usual(attempt.class),
-                at_work: server.connections.at_work(),
+                at_work: server.connections.fully_received(),
             };
             server.limit.record(&sample, concurrency::min_limit(&self.settings));
         }
@@ -350,7 +351,7 @@
     /// Updates the median latency of the servers that serve.
     pub(crate) fn update_median_latency(&mut self) {
         let endpoints = &self.endpoints;
-        self.latencies.update_median(|slot| endpoints.server(slot).judged_latency());
+        self.latencies.update_median(|slot| endpoints.server(slot).latency_for_median());
     }
 }
 
--- a/src/fleet/views.rs
+++ b/src/fleet/views.rs
@@ -12,7 +12,7 @@
     pub(crate) fn snapshot(&self, now: Time) -> Snapshot {
         let mut servers: Vec<&Server> =
             self.endpoints.servers().iter().filter(|server| server.is_open).collect();
-        snapshot::select_servers(&mut servers, |server| server.relevance());
+        snapshot::select_snapshot_servers(&mut servers, |server| server.snapshot_priority());
         Snapshot {
             admission_level: self.level.value(),
             median_latency: self.latencies.median(),
--- a/src/load_report.rs
+++ b/src/load_report.rs
@@ -24,7 +24,7 @@
     }
 
     /// Whether reports say how many requests a server has.
-    pub(crate) fn have_requests(&self) -> bool {
+    pub(crate) fn have_request_counts(&self) -> bool {
         self.requests_field.is_some()
     }
 
@@ -65,12 +65,12 @@
     }
 
     /// Whether there has been a report since then.
-    pub(crate) fn is_newer_than(&self, moment: Time) -> bool {
+    pub(crate) fn has_report_since(&self, moment: Time) -> bool {
         self.reported_at.is_some_and(|at| at >= moment)
     }
 
     /// The requests that the server has now: by its report as far as that is recent, else as many as the others.
-    pub(crate) fn expected(&self, now: Time, mean: f64) -> f64 {
+    pub(crate) fn estimated_requests(&self, now: Time, mean: f64) -> f64 {
         let age_ms = |at: Time| now.since(at).as_ms();
         let confidence = self.reported_at.map_or(0.0, |at| (-age_ms(at) / REPORT_LIFETIME_MS).exp());
         confidence * self.requests() + (1.0 - confidence) * mean
--- a/src/load_report/tests.rs
+++ b/src/load_report/tests.rs
@@ -23,7 +23,7 @@
     for report in [&[][..], &[f64::NAN], &[f64::INFINITY]] {
         let mut load = ReportedLoad::default();
         reports.record(NOW, &mut load, report);
-        assert!(!load.is_newer_than(Time(0)), "{report:?}");
+        assert!(!load.has_report_since(Time(0)), "{report:?}");
     }
     let mut load = ReportedLoad::default();
     reports.record(NOW, &mut load, &[-5.0]);
@@ -35,7 +35,7 @@
     let mut reports = reports(vec![ReportField::InFlight]);
     let mut load = ReportedLoad::default();
     reports.record(NOW, &mut load, &[10.0]);
-    assert_eq!(load.expected(NOW, 2.0), 10.0);
-    assert!((load.expected(NOW + Span::from_ms(60_000.0), 2.0) - 2.0).abs() < 1e-9);
-    assert_eq!(ReportedLoad::default().expected(NOW, 2.0), 2.0);
+    assert_eq!(load.estimated_requests(NOW, 2.0), 10.0);
+    assert!((load.estimated_requests(NOW + Span::from_ms(60_000.0), 2.0) - 2.0).abs() < 1e-9);
+    assert_eq!(ReportedLoad::default().estimated_requests(NOW, 2.0), 2.0);
 }
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -122,7 +122,7 @@
         let price = self.settings.prices.health_check * self.max_candidates(fleet) as f64;
         self.settings.health_checks
             && self.settings.report_source == ReportSource::HealthChecks
-            && fleet.load_reports.have_requests()
+            && fleet.load_reports.have_request_counts()
             && price <= MAX_QUERY_PRICE
             && fleet.is_sparse()
     }
@@ -205,7 +205,7 @@
         }
         let wins_over = if self.queries_load(fleet) { self.max_candidates(fleet) } else { 1 };
         let factor = fleet.slow_start_factor(now, server);
-        !is_sparse || fleet.slow_start.passes_draw(factor, wins_over, rng)
+        !is_sparse || fleet.slow_start.accepts_candidate(factor, wins_over, rng)
     }
 
     /// Candidates from all servers, if no draw has found one.
--- a/src/selection/load_query.rs
+++ b/src/selection/load_query.rs
@@ -16,7 +16,7 @@
 impl LoadQuery {
     /// Whether a candidate has reported its load since it was asked.
     pub(crate) fn has_report(&self, endpoints: &Endpoints, slot: usize) -> bool {
-        endpoints.server(slot).report.is_newer_than(self.asked_at)
+        endpoints.server(slot).report.has_report_since(self.asked_at)
     }
 
     fn is_done(&self, now: Time, endpoints: &Endpoints) -> bool {
--- a/src/selection/weights.rs
+++ b/src/selection/weights.rs
@@ -108,10 +108,10 @@
     fn weight(&self, now: Time, fleet: &Fleet, server: &Server) -> f64 {
         let listed = if self.settings.weights == Weights::Capacity { server.endpoint.weight } else { 1.0 };
         let size = if listed.is_finite() && listed > 0.0 { listed } else { 1.0 };
-        let requests = server.report.expected(now, fleet.load_reports.mean());
+        let requests = server.report.estimated_requests(now, fleet.load_reports.mean());
         let latency = fleet.latencies.expected(server.endpoint.kind, &server.latency);
         let prices = &self.settings.prices;
-        let has_idle = server.connections.has_idle(now, self.settings.keepalive);
+        let has_idle = server.connections.has_reusable_connection(now, self.settings.keepalive);
         let idle = if has_idle { PERCENT * IDLE_CONNECTION_PREFERENCE * prices.handshake } else { 0.0 };
         let is_near = server.endpoint.zone == self.settings.zone;
         let near = if is_near { PERCENT * OWN_ZONE_PREFERENCE * prices.cross_zone } else { 0.0 };
--- a/src/server.rs
+++ b/src/server.rs
@@ -7,7 +7,7 @@
 use crate::load_report::ReportedLoad;
 use crate::outliers::ServerHealth;
 use crate::slow_start::ServerSlowStart;
-use crate::snapshot::ServerRelevance;
+use crate::snapshot::SnapshotPriority;
 use crate::zones::ZoneAttempt;
 use crate::{Endpoint, ServerSnapshot, Status, Time};
 
@@ -58,7 +58,7 @@
     }
 
     /// Its latency, if that counts in the median.
-    pub(crate) fn judged_latency(&self) -> Option<f64> {
+    pub(crate) fn latency_for_median(&self) -> Option<f64> {
         let counts = self.endpoint.status == Status::Serving && self.latency.samples() > 0;
         counts.then_some(self.latency.smoothed())
     }
@@ -69,8 +69,8 @@
     }
 
     /// How much a snapshot gains from it.
-    pub(crate) fn relevance(&self) -> ServerRelevance {
-        ServerRelevance {
+    pub(crate) fn snapshot_priority(&self) -> SnapshotPriority {
+        SnapshotPriority {
             is_ejected: self.health.is_ejected(),
             is_measured: self.latency.samples() > 0,
             last_response_at: self.limit.last_sample_at(),
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -87,7 +87,7 @@
 
     /// The work that it was sent in the overload window that ends now, at most.
     fn sent_in_window(&self, now: Time, window: Span) -> f64 {
-        self.sent_in_window.as_ref().map_or(0.0, |sum| sum.at_most(now, window))
+        self.sent_in_window.as_ref().map_or(0.0, |sum| sum.upper_bound(now, window))
     }
 
     fn add_to_window(&mut self, now: Time, window: Span, work: f64) {
@@ -145,7 +145,7 @@
         open_servers: usize,
         work: f64,
     ) -> bool {
-        if !self.has_bound(now, server, factor, open_servers) {
+        if !self.is_budgeted(now, server, factor, open_servers) {
             return true;
         }
         let sent_in_window = server.sent_in_window(now, self.overload_window);
@@ -155,7 +155,7 @@
     }
 
     /// The same with sparse traffic, where the own attempts are too few to show a server's share: that is kept by chance
-    /// ([`SlowStart::passes_draw`]). Chance is not even for few balancers, so what the settings allow in the overload window
+    /// ([`SlowStart::accepts_candidate`]). Chance is not even for few balancers, so what the settings allow in the overload window
     /// binds as well, with some requests of mean work to spare.
     pub(crate) fn has_sparse_budget(
         &self,
@@ -165,7 +165,7 @@
         open_servers: usize,
         mean_work: f64,
     ) -> bool {
-        if !self.has_bound(now, server, factor, open_servers) {
+        if !self.is_budgeted(now, server, factor, open_servers) {
             return true;
         }
         let sent_in_window = server.sent_in_window(now, self.overload_window);
@@ -175,23 +175,23 @@
     }
 
     /// Whether a budget binds a server: it is warming up, there are warmed-up servers to go by, and no first try is due.
-    fn has_bound(&self, now: Time, server: &ServerSlowStart, factor: f64, open_servers: usize) -> bool {
+    fn is_budgeted(&self, now: Time, server: &ServerSlowStart, factor: f64, open_servers: usize) -> bool {
         factor < 1.0 && self.warm_count(open_servers) > 0 && !server.is_first_try_due(now)
     }
 
     /// The work that a server with this `factor` may be sent in the overload window, next to what the warmed-up servers
     /// were sent there.
     fn allowed_in_window(&self, now: Time, factor: f64) -> f64 {
-        let warm_sent = self.warm_sent_in_window.at_least(now, self.overload_window);
+        let warm_sent = self.warm_sent_in_window.lower_bound(now, self.overload_window);
         self.overload_factor.max(1.0) * factor * warm_sent
     }
 
     /// Whether a server that was drawn at random stays a candidate, with sparse traffic: so often that all balancers
     /// together send it its factor's share, and more by half of the overload that it takes, as most servers are warmer
     /// than is certain. A candidate that wins the pick because it is idle stays once for all those that it wins over.
-    pub(crate) fn passes_draw(&self, factor: f64, wins_over: usize, rng: &mut fastrand::Rng) -> bool {
-        let trust = (SPARSE_OVERLOAD_FRACTION * self.overload_factor).max(1.0);
-        factor >= 1.0 || rng.f64() * (wins_over as f64) < trust * factor
+    pub(crate) fn accepts_candidate(&self, factor: f64, outranked: usize, rng: &mut fastrand::Rng) -> bool {
+        let overload_multiple = (SPARSE_OVERLOAD_FRACTION * self.overload_factor).max(1.0);
+        factor >= 1.0 || rng.f64() * (outranked as f64) < overload_multiple * factor
     }
 
     /// Records the work of a request that a server with this `factor` is sent.
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -103,16 +103,16 @@
 
 /// Of a large fleet those servers that a snapshot gains most from: ejected ones first, then those that have been
 /// measured, the most recent first.
-pub(crate) fn select_servers<T>(servers: &mut Vec<T>, relevance: impl Fn(&T) -> ServerRelevance) {
+pub(crate) fn select_snapshot_servers<T>(servers: &mut Vec<T>, priority: impl Fn(&T) -> SnapshotPriority) {
     if servers.len() > MAX_SNAPSHOT_SERVERS {
-        servers.select_nth_unstable_by_key(MAX_SNAPSHOT_SERVERS, |server| Reverse(relevance(server)));
+        servers.select_nth_unstable_by_key(MAX_SNAPSHOT_SERVERS, |server| Reverse(priority(server)));
         servers.truncate(MAX_SNAPSHOT_SERVERS);
     }
 }
 
 /// How much a snapshot gains from a server.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct ServerRelevance {
+pub(crate) struct SnapshotPriority {
     /// It is ejected as an outlier.
     pub(crate) is_ejected: bool,
     /// It has responded.
--- a/src/snapshot/tests.rs
+++ b/src/snapshot/tests.rs
@@ -64,7 +64,7 @@
 fn of_a_large_fleet_ejected_and_measured_servers_are_kept() {
     let count = 3 * MAX_SNAPSHOT_SERVERS;
     let mut servers: Vec<usize> = (0..count).collect();
-    select_servers(&mut servers, |server| ServerRelevance {
+    select_snapshot_servers(&mut servers, |server| SnapshotPriority {
         is_ejected: *server == 7,
         is_measured: *server >= count / 2,
         last_response_at: Time(*server as u64),
--- a/src/windowed_sum.rs
+++ b/src/windowed_sum.rs
@@ -27,12 +27,12 @@
     }
 
     /// The sum of the intervals that lie in the window that ends now.
-    pub(crate) fn at_least(&self, now: Time, window: Span) -> f64 {
+    pub(crate) fn lower_bound(&self, now: Time, window: Span) -> f64 {
         self.newest_intervals(interval_number(now, window), INTERVALS)
     }
 
     /// The same with the interval that lies in the window in part.
-    pub(crate) fn at_most(&self, now: Time, window: Span) -> f64 {
+    pub(crate) fn upper_bound(&self, now: Time, window: Span) -> f64 {
         self.newest_intervals(interval_number(now, window), INTERVALS + 1)
     }
 
--- a/src/windowed_sum/tests.rs
+++ b/src/windowed_sum/tests.rs
@@ -9,13 +9,13 @@
         let mut sum = WindowedSum::default();
         sum.add(at(begin), window, 2.0);
         sum.add(at(begin + 500), window, 3.0);
-        assert_eq!(sum.at_least(at(begin + 900), window), 5.0);
-        assert_eq!(sum.at_most(at(begin + 1000), window), 5.0);
-        assert_eq!(sum.at_least(at(begin + 1001), window), 3.0);
-        assert_eq!(sum.at_most(at(begin + 1064), window), 3.0);
-        assert_eq!(sum.at_most(at(begin + 9000), window), 0.0);
+        assert_eq!(sum.lower_bound(at(begin + 900), window), 5.0);
+        assert_eq!(sum.upper_bound(at(begin + 1000), window), 5.0);
+        assert_eq!(sum.lower_bound(at(begin + 1001), window), 3.0);
+        assert_eq!(sum.upper_bound(at(begin + 1064), window), 3.0);
+        assert_eq!(sum.upper_bound(at(begin + 9000), window), 0.0);
         sum.add(at(begin + 9000), window, 1.0);
-        assert_eq!(sum.at_most(at(begin + 9000), window), 1.0);
+        assert_eq!(sum.upper_bound(at(begin + 9000), window), 1.0);
     }
 }
 
@@ -25,8 +25,8 @@
     let mut sum = WindowedSum::default();
     sum.add(Time(5_000_000), Span::from_ms(1000.0), 1.0);
     sum.add(Time(1), Span::from_ms(1000.0), 1.0);
-    assert_eq!(sum.at_least(Time(1), Span::from_ms(1000.0)), 2.0);
+    assert_eq!(sum.lower_bound(Time(1), Span::from_ms(1000.0)), 2.0);
     let mut sum = WindowedSum::default();
     sum.add(Time(0), Span::ZERO, 1.0);
-    assert_eq!(sum.at_most(Time(100), Span::ZERO), 0.0);
+    assert_eq!(sum.upper_bound(Time(100), Span::ZERO), 0.0);
 }
