--- a/src/action.rs
+++ b/src/action.rs
@@ -2,12 +2,12 @@
 
 use crate::{AttemptNo, PeerId, RequestId, ServerId, Span, Time, TimerId, ZoneId};
 
-/// What the host is to do.
+/// Something that the host has to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send an attempt; attempts of a request are numbered in the order of these actions.
+    /// Send an attempt. The attempts of a request are numbered from 0 in the order of these actions.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
         /// The server to send it to.
         server: ServerId,
@@ -16,28 +16,28 @@
     },
     /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptNo,
     },
-    /// Final answer: rejected. The request was not executed and may be retried.
+    /// Answer the client that the request is rejected. It was not executed, so the client may retry it.
     Reject {
-        /// The request.
+        /// The request to answer.
         request: RequestId,
-        /// When a retry makes sense, if that is known.
+        /// After how long the client should retry; `None` if that is not known.
         retry_after: Option<Span>,
     },
-    /// Final answer: failed. The request may have been executed.
+    /// Answer the client that the request has failed. It may have been executed.
     Fail {
-        /// The request.
+        /// The request to answer.
         request: RequestId,
     },
-    /// Notify the balancer at this time; timers are never cancelled.
+    /// Pass [`crate::Event::Timer`] to the balancer at a given time. Timers are never cancelled.
     SetTimer {
-        /// When.
+        /// When the timer expires.
         at: Time,
-        /// The identifier that [`crate::Event::Timer`] carries.
+        /// The identifier to pass in the event.
         timer: TimerId,
     },
     /// Send a health check.
@@ -47,30 +47,30 @@
     },
     /// Close this balancer's idle connections to a server.
     CloseIdleConnections {
-        /// The server.
+        /// The server whose connections are closed.
         server: ServerId,
     },
     /// Send a message to one other balancer, or to all.
     Gossip {
-        /// The receiver; `None` for all.
+        /// The balancer to send it to; `None` for all of them.
         to: Option<PeerId>,
-        /// The message.
+        /// The encoded message.
         payload: Vec<u8>,
     },
     /// Open or close the watch on the endpoint list.
     Watch {
-        /// Whether to open it.
+        /// True to open the watch, false to close it.
         active: bool,
     },
-    /// Poll the complete endpoint list once.
+    /// Fetch the complete endpoint list once.
     FetchEndpoints,
-    /// Log something that engineers on call may want to read.
+    /// Write a log line for the engineers on call.
     Log {
-        /// The server that it concerns, if any.
+        /// The server that the message is about, if any.
         server: Option<ServerId>,
-        /// The zone that it concerns, if any.
+        /// The zone that the message is about, if any.
         zone: Option<ZoneId>,
-        /// The message.
+        /// The text of the log line.
         text: String,
     },
 }
--- a/src/connections.rs
+++ b/src/connections.rs
@@ -1,59 +1,60 @@
-//! This balancer's requests and idle connections at one server.
+//! This balancer's attempts in flight and idle connections at a server.
 
 use crate::{Outcome, Span, Time};
 
-/// An idle connection is taken to be open for this fraction of the server's keep-alive time.
-const CERTAIN_KEEPALIVE: f64 = 0.5;
+/// An idle connection is assumed to be open for this fraction of the server's keep-alive time.
+const REUSABLE_KEEPALIVE_FRACTION: f64 = 0.5;
 
-/// Attempts in flight at one server, and the connections that earlier ones have left idle.
+/// The attempts in flight at a server and the connections that completed attempts have left idle.
 pub(crate) struct ServerConnections {
     in_flight: u32,
-    /// Those of them whose request bodies are still being received.
+    /// The attempts in flight whose request bodies are still being received.
     uploading: u32,
-    /// Connections left idle that no request has taken since, and when the last became idle.
+    /// The idle connections.
     idle: u32,
+    /// When the most recent connection became idle.
     idle_since: Time,
 }
 
 impl ServerConnections {
-    /// No connections.
+    /// No attempts and no connections.
     pub(crate) fn new(now: Time) -> Self {
         ServerConnections { in_flight: 0, uploading: 0, idle: 0, idle_since: now }
     }
 
-    /// The server's process has restarted: idle connections to the previous one are closed.
+    /// Forgets the idle connections after the server's process has restarted: they ended with the previous one.
     pub(crate) fn restart(&mut self, now: Time) {
         (self.idle, self.idle_since) = (0, now);
     }
 
-    /// Attempts in flight.
+    /// The number of attempts in flight.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Attempts that the server can work on: their requests have been received completely.
+    /// The number of attempts in flight that the server can process: their requests have been received completely.
     pub(crate) fn fully_received(&self) -> u32 {
         self.in_flight - self.uploading
     }
 
-    /// Whether an idle connection is certainly open still.
+    /// Whether there is an idle connection that the server has not closed yet for certain.
     pub(crate) fn has_reusable_connection(&self, now: Time, keepalive: Span) -> bool {
-        self.idle > 0 && now.since(self.idle_since) < keepalive * CERTAIN_KEEPALIVE
+        self.idle > 0 && now.since(self.idle_since) < keepalive * REUSABLE_KEEPALIVE_FRACTION
     }
 
-    /// Takes in that an attempt is sent, over an idle connection or a new one.
+    /// Records that an attempt is sent. If it does not reuse an idle connection, all idle ones count as closed.
     pub(crate) fn record_send(&mut self, is_uploading: bool, reuses_connection: bool) {
         self.in_flight += 1;
         self.uploading += u32::from(is_uploading);
         self.idle = if reuses_connection { self.idle - 1 } else { 0 };
     }
 
-    /// Takes in that the body of a request has been received completely.
+    /// Records that the body of an attempt's request has been received completely.
     pub(crate) fn record_upload_complete(&mut self) {
         self.uploading -= 1;
     }
 
-    /// Takes in how an attempt ended; a complete response leaves its connection idle.
+    /// Records that an attempt has ended. Only a complete response leaves its connection idle.
     pub(crate) fn record_end(&mut self, now: Time, was_uploading: bool, outcome: Outcome) {
         self.in_flight -= 1;
         self.uploading -= u32::from(was_uploading);
--- a/src/connections/tests.rs
+++ b/src/connections/tests.rs
@@ -4,20 +4,20 @@
 const KEEPALIVE: Span = Span(15_000_000);
 
 #[test]
-fn a_complete_response_leaves_a_connection_idle_for_a_while_and_a_broken_one_does_not() {
-    let has_idle_after = |outcome: Outcome, wait: Span| {
+fn a_complete_response_leaves_a_reusable_connection_and_a_reset_does_not() {
+    let is_reusable_after = |outcome: Outcome, wait: Span| {
         let mut connections = ServerConnections::new(NOW);
         connections.record_send(false, false);
         connections.record_end(NOW, false, outcome);
         connections.has_reusable_connection(NOW + wait, KEEPALIVE)
     };
-    assert!(has_idle_after(Outcome::Success, KEEPALIVE * 0.4));
-    assert!(!has_idle_after(Outcome::Success, KEEPALIVE * 0.5));
-    assert!(!has_idle_after(Outcome::ConnectionReset, Span::ZERO));
+    assert!(is_reusable_after(Outcome::Success, KEEPALIVE * 0.4));
+    assert!(!is_reusable_after(Outcome::Success, KEEPALIVE * 0.5));
+    assert!(!is_reusable_after(Outcome::ConnectionReset, Span::ZERO));
 }
 
 #[test]
-fn a_server_does_not_work_on_a_request_whose_body_is_still_being_received() {
+fn a_request_whose_body_is_still_being_received_is_not_counted_as_fully_received() {
     let mut connections = ServerConnections::new(NOW);
     connections.record_send(true, false);
     connections.record_send(false, false);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_restart_closes_idle_connections_and_leaves_the_attempts_in_flight() {
+fn a_restart_forgets_idle_connections_and_keeps_attempts_in_flight() {
     let mut connections = ServerConnections::new(NOW);
     connections.record_send(false, false);
     connections.record_send(false, false);
--- a/src/decaying_sum/tests.rs
+++ b/src/decaying_sum/tests.rs
@@ -2,7 +2,7 @@
 use crate::Span;
 
 #[test]
-fn a_term_keeps_one_eth_of_its_value_after_the_time_constant() {
+fn a_term_decays_to_one_eth_after_the_time_constant() {
     let (mut sum, now) = (DecayingSum::default(), Time::from_ms(1000.0));
     sum.add(now, 500.0, 8.0);
     assert_eq!(sum.value(now), 8.0);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn nothing_decays_while_the_clock_stands_or_goes_back() {
+fn the_sum_does_not_change_when_the_clock_goes_back() {
     let mut sum = DecayingSum::default();
     sum.add(Time::from_ms(1000.0), 500.0, 8.0);
     assert_eq!(sum.value(Time::from_ms(10.0)), 8.0);
--- a/src/due_times/tests.rs
+++ b/src/due_times/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn slots_are_due_in_the_order_of_their_times_and_each_once() {
+fn slots_are_returned_once_in_the_order_of_their_due_times() {
     let mut due_times = DueTimes::default();
     due_times.set(1, Some(Time(30)));
     due_times.set(2, Some(Time(10)));
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,39 +1,39 @@
-//! The endpoint list: what service discovery says of the servers.
+//! The endpoint list: the servers as service discovery reports them.
 
 use crate::{CellId, KindId, ServerId, Time, ZoneId};
 
-/// What service discovery says of a server.
+/// The status of a server according to service discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Status {
-    /// It accepts requests.
+    /// The server accepts requests.
     Serving,
-    /// It finishes the requests it has; nothing new may be sent to it.
+    /// The server finishes the requests that it has; no new ones may be sent to it.
     Draining,
-    /// It has been removed.
+    /// The server has been removed from the endpoint list.
     Gone,
 }
 
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
-    /// The server.
+    /// The server that the entry describes.
     pub server: ServerId,
-    /// Its zone.
+    /// The zone that the server runs in.
     pub zone: ZoneId,
-    /// Its machine type.
+    /// The server's machine type.
     pub kind: KindId,
-    /// Its cell.
+    /// The cell that the server belongs to.
     pub cell: CellId,
-    /// Its status.
+    /// Whether the server accepts requests.
     pub status: Status,
-    /// Its weight relative to the other servers; [`crate::Settings::weights`] says what it means.
+    /// The weight relative to the other servers; [`crate::Settings::weights`] gives its meaning.
     pub weight: f64,
-    /// When its process last started, if that was recently.
+    /// When the server's process last started; `None` if that was long ago.
     pub started: Option<Time>,
 }
 
 impl Endpoint {
-    /// A serving endpoint that started long ago, in zone, machine type and cell 0.
+    /// The entry of a serving server that started long ago, with zone, machine type and cell 0 and weight 1.
     pub fn serving(server: ServerId) -> Self {
         Endpoint {
             server,
@@ -47,20 +47,20 @@
     }
 }
 
-/// A change of the endpoint list, or a failure to learn of one.
+/// An update of the endpoint list, or a failure to get one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EndpointUpdate {
-    /// Only the entries that changed, or the last of them.
+    /// The entries that changed; after [`EndpointUpdate::Partial`], the last of them.
     Changes(Vec<Endpoint>),
-    /// Changed entries of a response that is still being received and may yet turn out to be unusable.
+    /// Changed entries of a response that is still being received. The rest of it may still prove to be unusable.
     Partial(Vec<Endpoint>),
-    /// The complete list: servers that it does not name have been removed.
+    /// The complete list; servers that are not in it have been removed.
     Complete(Vec<Endpoint>),
-    /// The complete list as it was stored before a restart; may be stale.
+    /// The complete list that was stored before this process started; it may be stale.
     Saved(Vec<Endpoint>),
-    /// A poll or the watch failed; the known list still holds.
+    /// A poll or the watch failed; the balancer keeps the list that it has.
     Failed,
-    /// Discovery answered, but with nothing usable: too large, or not a list. The known list still holds, and the
+    /// The answer was unusable: too large, or not an endpoint list. The balancer keeps the list that it has, and the
     /// backoff before the next poll doubles up to [`crate::Settings::max_poll_interval`], also where the list is
     /// pushed, because an immediate retry would get the same answer. The next usable update ends the backoff.
     Unusable,
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,4 +1,4 @@
-//! The events that a balancer is notified of.
+//! The events that the host passes to a balancer.
 
 use crate::{
     AffinityKey, AttemptNo, ClassId, EndpointUpdate, PeerId, RequestId, ServerId, Snapshot, Span, TenantId,
@@ -6,30 +6,31 @@
 };
 use std::collections::BTreeMap;
 
-/// A request that a client has submitted.
+/// A request that a client has sent to the host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Its identifier.
+    /// Identifies the request in later events and actions.
     pub id: RequestId,
-    /// Its class.
+    /// The request class, which determines the deadline, latency objective and idempotency.
     pub class: ClassId,
-    /// The tenant that it belongs to.
+    /// The tenant whose quota it counts against; `None` if it belongs to no tenant.
     pub tenant: Option<TenantId>,
-    /// Its affinity key.
+    /// The affinity key; `None` if it has no preferred server.
     pub affinity_key: Option<AffinityKey>,
-    /// The client's estimate of its work, in core time.
+    /// The client's estimate of the CPU time that the request needs on one core.
     pub cost_hint: Option<Span>,
-    /// The client marks it as a retry.
+    /// The client has marked the request as a retry.
     pub is_retry: bool,
-    /// How long the client still waits for this request.
+    /// How much longer the client waits for the answer.
     pub time_left: Span,
-    /// Its body is still being received and is forwarded as it arrives. Its time counts from [`Event::BodyComplete`];
-    /// only what arrives before its first attempt has to arrive within `time_left`.
+    /// The body is still being received and is forwarded as it arrives. The client's waiting time starts at
+    /// [`Event::BodyComplete`]; `time_left` limits only the part of the body that is received before the first
+    /// attempt.
     pub uploading: bool,
 }
 
 impl Request {
-    /// A first try without tenant, affinity key or cost hint.
+    /// A request that is not a retry, has been received completely and has no tenant, affinity key or cost hint.
     pub fn new(id: RequestId, class: ClassId, time_left: Span) -> Self {
         Request {
             id,
@@ -47,137 +48,141 @@
 /// How an attempt or a health check ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Served.
+    /// The server answered without an error.
     Success,
     /// The server answered with an error; the request may have been executed.
     ServerError,
-    /// The server rejected it before execution.
+    /// The server rejected the request without executing it.
     Rejected,
-    /// No response in time; it may have been executed, or still be.
+    /// No response before the timeout. The request may have been executed or may still be executing.
     TimedOut,
-    /// No connection could be established in time; it was not executed.
+    /// No connection could be established before the timeout; the request was not executed.
     ConnectFailed,
-    /// The connection broke; it may have been executed.
+    /// The connection broke; the request may have been executed.
     ConnectionReset,
-    /// Cancelled; it may have been executed.
+    /// The attempt was cancelled; the request may have been executed.
     Cancelled,
-    /// Never sent: the request was over, its attempts or time were used up, or this host lacked a resource.
+    /// Never sent: the request had ended, its attempts or its time were used up, or the host lacked a resource.
     NotSent,
 }
 
 impl Outcome {
-    /// True if the server or the path to it failed; neither a full queue nor a late response counts.
+    /// Whether the server or the network path to it failed; a rejection by a full queue or a timeout does not count.
     pub fn is_failure(self) -> bool {
         matches!(self, Outcome::ServerError | Outcome::ConnectFailed | Outcome::ConnectionReset)
     }
 
-    /// True if this outcome proves that the request was not executed.
+    /// Whether this outcome proves that the request was not executed.
     pub fn is_not_executed(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// A server's load report: values in the order of [`crate::Settings::report_fields`].
+/// The values of a server's load report, in the order of [`crate::Settings::report_fields`].
 pub type Report = [f64];
 
-/// What a balancer is notified of.
+/// Something that has happened and that the balancer has to react to.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A request has arrived.
     Request(Request),
-    /// A streamed response has begun; the request is bound to this attempt.
+    /// The first byte of a streamed response has been forwarded, so no other attempt can answer the request any more.
     FirstByte {
-        /// The request.
+        /// The request that is being answered.
         request: RequestId,
-        /// The attempt that it is bound to.
+        /// The attempt whose response is being forwarded.
         attempt: AttemptNo,
     },
     /// An attempt has ended.
     Outcome {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// The attempt that has ended.
         attempt: AttemptNo,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// The time since the attempt was sent.
         elapsed: Span,
-        /// The server's load report, if it sent one.
+        /// The load report that came with the response, if any.
         report: Option<Vec<f64>>,
-        /// The request has its final answer; without this one is still owed.
+        /// The client has received the final answer or has given up. If false, the balancer has to retry the request
+        /// or answer it.
         request_finished: bool,
     },
     /// The last byte of a request body that was still being received has arrived.
     BodyComplete {
-        /// The request.
+        /// The request whose body is now complete.
         request: RequestId,
-        /// How long the client waits from now on.
+        /// How long the client waits for the answer, counted from this event.
         time_left: Span,
     },
-    /// A part of the request body has been forwarded and is not kept: it cannot be sent again.
+    /// Part of the request body has been forwarded without a copy being kept, so the body cannot be sent again.
     BodyConsumed {
-        /// The request.
+        /// The request that can no longer be sent to another server.
         request: RequestId,
     },
-    /// A response that had begun well and was reported as a success has been aborted.
+    /// A response that was reported as [`Outcome::Success`] when it began has been aborted before its end.
     ResponseAborted {
-        /// The server that sent it.
+        /// The server that aborted its response.
         server: ServerId,
     },
-    /// The client has disconnected or cancelled; no answer is owed any more.
+    /// The client has disconnected or has cancelled the request; it needs no answer any more.
     ClientDisconnected {
-        /// The request.
+        /// The request that the client gave up.
         request: RequestId,
     },
-    /// A timer is due.
+    /// A timer set with [`crate::Action::SetTimer`] has expired.
     Timer(TimerId),
-    /// The result of a health check.
+    /// A health check has ended.
     HealthChecked {
-        /// The server.
+        /// The server that was checked.
         server: ServerId,
         /// How the health check ended.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// The time since the health check was sent.
         elapsed: Span,
-        /// The server's load report, if it sent one.
+        /// The load report that came with the response, if any.
         report: Option<Vec<f64>>,
     },
     /// A change of the endpoint list.
     Endpoints(EndpointUpdate),
-    /// What the previous process knew; used only where nothing is known yet.
+    /// The state that the previous process has saved. It is used only for what this balancer has not yet measured.
     Restore(Snapshot),
-    /// An operator cordons a server: nothing new is sent to it until it is uncordoned, whatever the endpoint list says.
+    /// An operator cordons a server: no new requests are sent to it until it is uncordoned, whatever its status in the
+    /// endpoint list.
     Cordon {
-        /// The server; it need not be in the endpoint list.
+        /// The server to cordon; it need not be in the endpoint list.
         server: ServerId,
     },
-    /// An operator uncordons a server. It has been restarted meanwhile and is warming up.
+    /// An operator uncordons a server. Its process is taken to have been restarted, so it counts as warming up.
     Uncordon {
-        /// The server.
+        /// The server to uncordon.
         server: ServerId,
-        /// When that was.
+        /// When the operator uncordoned it; its warm-up starts then.
         at: Time,
     },
-    /// An operator evacuates a zone: nothing new is sent to any server that the endpoint list has there, now or later.
+    /// An operator evacuates a zone: no new requests are sent to its servers, including those that are added to the
+    /// zone later.
     EvacuateZone {
-        /// The zone.
+        /// The zone to evacuate.
         zone: ZoneId,
     },
-    /// An operator ends the evacuation. All balancers return at once, so each of its servers counts as warming up.
+    /// An operator ends the evacuation of a zone. All balancers return to it at the same time, so its servers count as
+    /// warming up.
     RestoreZone {
-        /// The zone.
+        /// The zone to use again.
         zone: ZoneId,
-        /// When that was.
+        /// When the operator ended the evacuation; the warm-up of its servers starts then.
         at: Time,
     },
-    /// The region of each zone that has one, from now on; a zone without one is a region of its own. Before this event
-    /// all zones are one region.
+    /// The region of each zone; replaces any earlier assignment. A zone without an entry is a region of its own. Until
+    /// the first event of this kind, all zones count as one region.
     Regions(BTreeMap<ZoneId, u32>),
     /// A message from another balancer.
     Gossip {
-        /// The sender.
+        /// The balancer that sent the message.
         from: PeerId,
-        /// The message.
+        /// The encoded message.
         payload: Vec<u8>,
     },
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers. The caller chooses them, except for [`TimerId`], which the balancer chooses.
+//! Identifiers. The caller assigns all of them except [`TimerId`], which the balancer assigns.
 
 macro_rules! id {
     ($(#[$doc:meta] $name:ident($inner:ty)),* $(,)?) => {$(
@@ -9,25 +9,25 @@
 }
 
 id! {
-    /// A request; the caller never uses a number twice in a balancer's lifetime.
+    /// A request. The caller must not reuse an identifier during a balancer's lifetime.
     RequestId(u64),
-    /// A server; stable while the machine is, and equal at every balancer.
+    /// A server. It identifies the machine, also across restarts of its process, and is the same at every balancer.
     ServerId(u32),
     /// A request class: its index in [`crate::Settings::classes`].
     ClassId(usize),
     /// A tenant: its index in [`crate::Settings::tenants`].
     TenantId(usize),
-    /// A zone, as the endpoint list numbers them.
+    /// A zone, by its number in the endpoint list.
     ZoneId(u32),
-    /// A machine type, as the endpoint list numbers them.
+    /// A machine type, by its number in the endpoint list.
     KindId(u32),
-    /// A cell: a group of servers that share a deduplication store, as the endpoint list numbers them.
+    /// A cell: a group of servers that share a deduplication store. By its number in the endpoint list.
     CellId(u32),
-    /// The affinity key of a request: requests for the same object carry the same key.
+    /// An affinity key: requests for the same object carry the same key.
     AffinityKey(u64),
-    /// An attempt of a request: 0 for the first, 1 for the second and so on.
+    /// An attempt, numbered from 0 within its request.
     AttemptNo(u32),
-    /// A timer; chosen by the balancer.
+    /// A timer that the balancer has set with [`crate::Action::SetTimer`].
     TimerId(u64),
     /// Another balancer of the same service.
     PeerId(u32),
--- a/src/load_report/tests.rs
+++ b/src/load_report/tests.rs
@@ -8,17 +8,17 @@
 }
 
 #[test]
-fn requests_in_flight_are_read_before_the_queue() {
+fn requests_in_flight_take_precedence_over_the_queue_length() {
     let mut reports = reports(vec![ReportField::Queue, ReportField::Other, ReportField::InFlight]);
     let mut load = ReportedLoad::default();
     reports.record(NOW, &mut load, &[9.0, 8.0, 3.0]);
     assert_eq!(load.requests(), 3.0);
     load.record_send();
-    assert_eq!(load.requests(), 4.0, "own requests since the report count too");
+    assert_eq!(load.requests(), 4.0, "requests sent since the report are added");
 }
 
 #[test]
-fn a_report_without_a_plausible_number_is_ignored() {
+fn a_report_without_a_finite_number_is_ignored_and_a_negative_one_counts_as_zero() {
     let mut reports = reports(vec![ReportField::InFlight]);
     for report in [&[][..], &[f64::NAN], &[f64::INFINITY]] {
         let mut load = ReportedLoad::default();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_old_report_gives_way_to_the_mean_of_all() {
+fn an_old_report_gives_way_to_the_mean_of_all_servers() {
     let mut reports = reports(vec![ReportField::InFlight]);
     let mut load = ReportedLoad::default();
     reports.record(NOW, &mut load, &[10.0]);
--- a/src/moving_average.rs
+++ b/src/moving_average.rs
@@ -1,7 +1,7 @@
-//! Steps of exponential moving averages.
+//! Update steps of exponential moving averages.
 
-/// Moves an average towards a new value by `gain`, and by a quarter of it if the new value is higher, so that a time of
-/// congestion does not pass for the usual state.
+/// Moves an average towards a new value by `gain`, or by a quarter of `gain` if the new value is higher, so that a
+/// period of congestion does not become the baseline.
 pub(crate) fn step_favoring_low(average: &mut f64, value: f64, gain: f64) {
     let gain = if value < *average { gain } else { gain / 4.0 };
     *average += gain * (value - *average);
--- a/src/running_median/tests.rs
+++ b/src/running_median/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_median_equals_that_of_all_values_in_order() {
+fn the_median_equals_the_middle_of_the_sorted_values() {
     let (mut median, mut rng) = (RunningMedian::default(), fastrand::Rng::with_seed(1));
     let mut values = [None; 30];
     assert_eq!(median.get(), None);
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,5 +1,5 @@
-//! The record of one server. Each part of the balancer keeps its state of a server here, behind its own type, so that
-//! what is known of a server lies together in memory.
+//! The state that is kept for one server. Each module defines a type for its part of the state; the parts are stored
+//! in one struct so that they are adjacent in memory.
 
 use crate::concurrency::ServerLimit;
 use crate::connections::ServerConnections;
@@ -11,11 +11,11 @@
 use crate::zones::ZoneAttempt;
 use crate::{Endpoint, ServerSnapshot, Status, Time};
 
-/// What is known of a server.
+/// The state of a server.
 pub(crate) struct Server {
-    /// What the endpoint list says.
+    /// The server's entry in the endpoint list.
     pub(crate) endpoint: Endpoint,
-    /// The endpoint list and the operators let it be sent requests.
+    /// Whether both the endpoint list and the operators permit sending requests to the server.
     pub(crate) is_open: bool,
     pub(crate) connections: ServerConnections,
     pub(crate) latency: ServerLatency,
@@ -26,7 +26,7 @@
 }
 
 impl Server {
-    /// A server that nothing but its endpoint is known of.
+    /// A server of which only the endpoint is known.
     pub(crate) fn new(endpoint: Endpoint, now: Time) -> Self {
         Server {
             endpoint,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Takes in that a new process runs on the machine: what is known of the previous one says nothing of it.
+    /// Discards what was measured of the previous process after a new one has started on the machine.
     pub(crate) fn restart(&mut self, endpoint: Endpoint, now: Time) {
         self.endpoint = endpoint;
         self.is_open = false;
@@ -52,23 +52,23 @@
         self.report = ReportedLoad::default();
     }
 
-    /// Whether the endpoint list has the server.
+    /// Whether the server is in the endpoint list.
     pub(crate) fn is_listed(&self) -> bool {
         self.endpoint.status != Status::Gone
     }
 
-    /// Its latency, if that counts in the median.
+    /// The smoothed latency, if it counts in the fleet's median: if the server is serving and has responded.
     pub(crate) fn latency_for_median(&self) -> Option<f64> {
         let counts = self.endpoint.status == Status::Serving && self.latency.samples() > 0;
         counts.then_some(self.latency.smoothed())
     }
 
-    /// An attempt that it was sent, as its zone records it.
+    /// An attempt at this server, as the zone statistics record it.
     pub(crate) fn zone_attempt(&self, sent_at: Time) -> ZoneAttempt {
         ZoneAttempt { zone: self.endpoint.zone, server: self.endpoint.server, sent_at }
     }
 
-    /// How much a snapshot gains from it.
+    /// The priority with which the server is included in a snapshot of a large fleet.
     pub(crate) fn snapshot_priority(&self) -> SnapshotPriority {
         SnapshotPriority {
             is_ejected: self.health.is_ejected(),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// What the next process should know of it.
+    /// The state of the server that is handed over to the next process.
     pub(crate) fn snapshot(&self, now: Time) -> ServerSnapshot {
         ServerSnapshot {
             server: self.endpoint.server,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -6,28 +6,28 @@
 /// Whether a request may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum Idempotency {
-    /// May be executed any number of times.
+    /// It may be executed any number of times.
     #[default]
     Idempotent,
-    /// Carries an idempotency key by which the servers of `scope` drop a repeated request.
+    /// It carries an idempotency key by which the servers of `scope` recognize a retry and do not execute it again.
     Deduplicated {
         /// The servers that share a deduplication store.
         scope: DeduplicationScope,
-        /// How long they remember the key, counted from the first attempt.
+        /// How long the servers remember the key, counted from the first attempt.
         window: Span,
     },
-    /// Must not be executed twice.
+    /// It must not be executed more than once.
     AtMostOnce,
 }
 
 /// The servers that share a deduplication store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum DeduplicationScope {
-    /// All servers.
+    /// All servers share one store.
     All,
-    /// The servers of one zone.
+    /// The servers of a zone share a store.
     Zone,
-    /// The servers of one cell.
+    /// The servers of a cell share a store.
     Cell,
 }
 
@@ -36,17 +36,17 @@
 pub struct Class {
     /// Whether requests of this class may be executed more than once.
     pub idempotency: Idempotency,
-    /// A response within this time earns the full `priority_weight`.
+    /// A response within this time counts with the full `priority_weight`.
     pub latency_objective: Span,
-    /// The latency objective grows by this multiple of the request's own work, up to the deadline.
+    /// The latency objective of a request is extended by its work times this factor, up to the deadline.
     pub latency_objective_stretch: f64,
-    /// How long a client waits in total, over all its retries.
+    /// How long a client waits for an answer in total, including its own retries.
     pub deadline: Span,
-    /// What a request that is served within its latency objective counts.
+    /// How much a request counts that is answered within its latency objective.
     pub priority_weight: f64,
-    /// The fraction of `priority_weight` that a response between the latency objective and the deadline keeps.
+    /// The fraction of `priority_weight` that a response after the latency objective and before the deadline counts.
     pub late_weight: f64,
-    /// The response is a stream, announced by [`crate::Event::FirstByte`].
+    /// Responses are streamed; [`crate::Event::FirstByte`] reports that one has begun.
     pub stream: bool,
 }
 
@@ -64,78 +64,78 @@
     }
 }
 
-/// A tenant with a quota of the service.
+/// A tenant that has a quota of the service's capacity.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Tenant {
-    /// Its fraction of the service, 0 to 1.
+    /// The fraction of the service that the tenant is entitled to, from 0 to 1.
     pub fraction: f64,
-    /// Requests a second, summed over all balancers, that lie within its quota.
+    /// The requests per second, summed over all balancers, that are within the tenant's quota.
     pub allowance_per_s: f64,
 }
 
-/// A field of a server's load report, in the order that [`Settings::report_fields`] gives.
+/// The meaning of a value in a server's load report; [`Settings::report_fields`] gives the order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ReportField {
-    /// Requests in flight at the server.
+    /// The requests in flight at the server.
     InFlight,
-    /// Requests queued at the server.
+    /// The requests queued at the server.
     Queue,
-    /// The busy fraction of its cores.
+    /// The fraction of the server's cores that is busy.
     Utilisation,
-    /// Its recent service time in milliseconds, without queueing.
+    /// The recent service time in milliseconds, excluding queueing.
     ServiceTime,
-    /// Requests it answers a second.
+    /// The requests answered per second.
     Rate,
-    /// Errors a second.
+    /// The errors per second.
     Errors,
-    /// A field that the balancer does not use.
+    /// A value that the balancer ignores.
     Other,
 }
 
-/// How the balancer learns of changes to the endpoint list.
+/// How the balancer gets changes of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum Discovery {
-    /// Discovery pushes them.
+    /// Service discovery pushes them.
     #[default]
     Pushed,
-    /// Only after [`crate::Action::Watch`] or [`crate::Action::FetchEndpoints`].
+    /// The balancer has to request them with [`crate::Action::Watch`] or [`crate::Action::FetchEndpoints`].
     Polled,
 }
 
-/// Where load reports come from.
+/// Which responses carry load reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum ReportSource {
-    /// There are none.
+    /// The servers send no load reports.
     #[default]
     None,
-    /// With responses and with health checks.
+    /// Responses to requests and to health checks carry them.
     Responses,
-    /// With health checks only.
+    /// Only responses to health checks carry them.
     HealthChecks,
 }
 
 /// The meaning of [`crate::Endpoint::weight`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum Weights {
-    /// None; the weights are ignored.
+    /// They have no meaning and are ignored.
     #[default]
     None,
-    /// The capacity of the machine, exactly or roughly.
+    /// The exact or approximate capacity of the machine.
     Capacity,
-    /// The capacity divided by the load of some time ago.
+    /// The capacity of the machine divided by its load, which may be out of date.
     Live,
 }
 
-/// The weights of the parts of the service's overall result; they need not sum to one.
+/// The weights of the components of the service's score; they need not sum to one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Goal {
-    /// All requests together.
+    /// The weight of the score over all requests.
     pub overall: f64,
-    /// The worst time window.
+    /// The weight of the score in the worst time window.
     pub worst_window: f64,
-    /// The class that is served worst.
+    /// The weight of the score of the class that is served worst.
     pub worst_class: f64,
-    /// The tenant that is served worst within its quota.
+    /// The weight of the score of the tenant that is served worst within its quota.
     pub worst_tenant: f64,
 }
 
@@ -145,83 +145,86 @@
     }
 }
 
-/// What an operation costs, as a fraction of the result if there is one of it per request.
+/// The costs of operations: by which fraction of the service's score an operation lowers it if it occurs once per
+/// request.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Prices {
-    /// An attempt that leaves the balancer's zone.
+    /// The cost of an attempt to a server outside the balancer's zone.
     pub cross_zone: f64,
-    /// A health check.
+    /// The cost of a health check.
     pub health_check: f64,
-    /// A new connection.
+    /// The cost of opening a connection.
     pub handshake: f64,
-    /// An open connection, per hundred servers.
+    /// The cost of an open connection per hundred servers.
     pub connection: f64,
-    /// Work that led to no response.
+    /// The cost of work that led to no response.
     pub waste: f64,
-    /// A request that ends unserved after its latency objective.
+    /// The cost of a request that fails or is rejected after its latency objective.
     pub late_failure: f64,
 }
 
 /// The configuration of a balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Number of balancers of this service, this one included.
+    /// The number of balancers of this service, including this one.
     pub balancers: u32,
-    /// The zone of this balancer.
+    /// The zone that this balancer runs in.
     pub zone: ZoneId,
-    /// The request classes.
+    /// The request classes; [`crate::ClassId`] is an index into them. There must be at least one.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// The tenants; [`crate::TenantId`] is an index into them. May be empty.
     pub tenants: Vec<Tenant>,
-    /// The fraction of its weight that a request over its tenant's quota keeps.
+    /// The fraction of its weight that a request counts if its tenant has exceeded the quota.
     pub over_quota_weight: f64,
-    /// `priority_weight` counts per unit of work and not per request.
+    /// Whether `priority_weight` applies per unit of work instead of per request.
     pub weight_by_work: bool,
-    /// The weights of the parts of the overall result.
+    /// The weights of the components of the service's score.
     pub goal: Goal,
-    /// What operations cost.
+    /// The costs of operations.
     pub prices: Prices,
-    /// How the balancer learns of changes to the endpoint list.
+    /// How the balancer gets changes of the endpoint list.
     pub discovery: Discovery,
-    /// Without a watch the endpoint list must be polled at least this often.
+    /// The longest interval between two polls of the endpoint list while there is no watch.
     pub max_poll_interval: Span,
-    /// Where load reports come from.
+    /// Which responses carry load reports.
     pub report_source: ReportSource,
-    /// The fields of a load report, in order.
+    /// The meaning of each value of a load report, in order.
     pub report_fields: Vec<ReportField>,
     /// The meaning of the weights in the endpoint list.
     pub weights: Weights,
-    /// A server that handled an affinity key recently serves it with less work.
+    /// Whether a server that has recently handled an affinity key needs less work for further requests with that key.
     pub key_affinity: bool,
-    /// The maximum number of attempts for a request.
+    /// The maximum number of attempts per request, at least 1.
     pub max_attempts: u32,
-    /// A request may be hedged: have two attempts in flight at once.
+    /// Whether a request may be hedged, that is, have two attempts in flight at once.
     pub hedging: bool,
-    /// [`crate::Action::Cancel`] is allowed.
+    /// Whether the balancer may use [`crate::Action::Cancel`].
     pub cancel: bool,
-    /// [`crate::Action::HealthCheck`] is allowed.
+    /// Whether the balancer may use [`crate::Action::HealthCheck`].
     pub health_checks: bool,
-    /// [`crate::Action::Gossip`] is allowed.
+    /// Whether the balancer may use [`crate::Action::Gossip`].
     pub gossip: bool,
-    /// Clients are passed the Retry-After of [`crate::Action::Reject`].
+    /// Whether the host passes the retry time of [`crate::Action::Reject`] on to clients as Retry-After.
     pub retry_after: bool,
-    /// The longest Retry-After that a client respects.
+    /// The longest Retry-After that clients comply with.
     pub max_retry_after: Span,
-    /// How long after the notification an attempt may still begin at a draining or removed server.
+    /// For how long an attempt may still begin at a server after the balancer was notified that the server is draining
+    /// or has been removed.
     pub drain_grace: Span,
-    /// The fraction of its capacity that a server has when it starts.
+    /// The fraction of its full capacity that a server has when it starts.
     pub initial_capacity: f64,
-    /// How long a server takes to warm up to its full capacity.
+    /// How long a server takes to reach its full capacity after it starts.
     pub warm_up_time: Span,
-    /// A server that is warming up fails when it is sent more than this multiple of its capacity ...
+    /// A server that is warming up fails if the work that it is sent within `overload_window` exceeds its capacity by
+    /// more than this factor.
     pub overload_factor: f64,
-    /// ... within this window.
+    /// The time window that `overload_factor` applies to.
     pub overload_window: Span,
-    /// The maximum number of requests that clients can have open at once, if there is one.
+    /// The maximum number of requests that clients can have open at once; `None` if it is unlimited.
     pub max_concurrent_requests: Option<u32>,
-    /// The shortest interval between two events.
+    /// The shortest interval between two times at which events are passed in.
     pub event_interval: Span,
-    /// A server closes a connection that has been idle for this long.
+    /// After how long a server closes an idle connection.
     pub keepalive: Span,
 }
 
@@ -262,7 +265,7 @@
 }
 
 impl Settings {
-    /// Rejects settings that no balancer can work with; [`crate::Balancer::new`] calls it.
+    /// Returns an error if the settings are invalid; [`crate::Balancer::new`] calls it.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -289,25 +292,25 @@
     }
 }
 
-/// Settings that no balancer can work with.
+/// Why settings are invalid.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// There must be at least one class.
+    /// There is no request class.
     NoClasses,
-    /// A number that must be finite and not negative is not.
+    /// A number is negative, infinite or NaN.
     BadNumber {
-        /// Which setting.
+        /// The name of the setting.
         setting: &'static str,
-        /// Its value.
+        /// The invalid value.
         value: f64,
     },
-    /// A duration that must be above zero is zero.
+    /// A duration that must be positive is zero.
     ZeroSpan {
-        /// Which setting.
+        /// The name of the setting.
         setting: &'static str,
     },
-    /// A request needs at least one attempt.
+    /// [`Settings::max_attempts`] is zero.
     NoAttempts,
 }
 
--- a/src/slot_sets.rs
+++ b/src/slot_sets.rs
@@ -1,14 +1,14 @@
-//! Sets of server slots that support insertion, removal and a uniform random draw in constant time.
+//! Sets of server slots with insertion, removal and uniform random draws in constant time.
 //!
-//! The last member takes the place of one that is removed, so the order of the members carries no meaning. Setting a
-//! slot to what it is already changes nothing, not even the order.
+//! The last member replaces a removed one, so the order of the members has no meaning. An update that does not change
+//! a slot's membership keeps the order.
 
 use std::collections::BTreeMap;
 
-/// The position of a slot that is in no set.
+/// The position of a slot that is not a member.
 const NO_POSITION: u32 = u32::MAX;
 
-/// Server slots grouped by a key; each slot is in one group at most.
+/// Server slots grouped by a key. Each slot is in at most one group.
 #[derive(Debug, Default)]
 pub(crate) struct SlotGroups<K> {
     groups: BTreeMap<K, Vec<usize>>,
@@ -17,7 +17,7 @@
 }
 
 impl<K: Copy + Ord + Default> SlotGroups<K> {
-    /// Moves a slot to a group, or out of all groups.
+    /// Moves a slot to a group, or removes it from its group if `group` is `None`.
     pub(crate) fn set(&mut self, slot: usize, group: Option<K>) {
         if self.positions.len() <= slot {
             self.positions.resize(slot + 1, (K::default(), NO_POSITION));
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The slots of a group.
+    /// The slots of a group, in no particular order.
     pub(crate) fn members(&self, group: K) -> &[usize] {
         self.groups.get(&group).map_or(&[], |members| members)
     }
@@ -64,11 +64,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct SlotSet {
     members: Vec<usize>,
+    /// The position of each slot in `members`, or [`NO_POSITION`].
     positions: Vec<u32>,
 }
 
 impl SlotSet {
-    /// Inserts a slot or removes it.
+    /// Inserts or removes a slot.
     pub(crate) fn set(&mut self, slot: usize, is_member: bool) {
         if self.positions.len() <= slot {
             self.positions.resize(slot + 1, NO_POSITION);
@@ -86,7 +87,7 @@
         }
     }
 
-    /// All members.
+    /// All members, in no particular order.
     pub(crate) fn members(&self) -> &[usize] {
         &self.members
     }
--- a/src/slot_sets/tests.rs
+++ b/src/slot_sets/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn setting_what_is_so_already_keeps_the_order() {
+fn an_update_without_a_change_keeps_the_order() {
     let (mut set, mut groups) = (SlotSet::default(), SlotGroups::<u32>::default());
     for slot in [3, 1, 2] {
         set.set(slot, true);
@@ -30,5 +30,5 @@
     (1..4).for_each(|slot| groups.set(slot, Some(7)));
     assert_eq!((set.members(), groups.members(7)), (&[3, 1, 2][..], &[3, 1, 2][..]));
     set.set(3, false);
-    assert_eq!(set.members(), [2, 1], "the last member takes the place of the removed one");
+    assert_eq!(set.members(), [2, 1], "the last member replaces the removed one");
 }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,71 +1,76 @@
-//! Slow start: how much a server is sent while it is warming up.
+//! Slow start: limits the work that a server is sent while it is warming up.
 //!
-//! A server that has just started has only a part of its capacity and fails if it is sent much more. It is idle, so
-//! every balancer prefers it, and the sum of them all would push it over. Each balancer therefore keeps within a budget
-//! that follows from what it sends the servers that have warmed up, without a word between the balancers.
+//! A server that has just started has only part of its capacity and fails if it is sent much more. As it is idle,
+//! every balancer prefers it, and all of them together would overload it. Each balancer therefore keeps to a budget
+//! that it derives from the work that it sends to warmed-up servers. The balancers do not communicate about it.
 //!
-//! The budget has two bounds. By a decaying sum, a server that is warming up gets its share of what each warmed-up server
-//! was sent recently. A load that has ended, or has moved off the warmed-up servers, is remembered longer in such a sum
-//! than the overload window that the settings name, so what the settings allow in just that window is a bound as well.
+//! The budget has two bounds. The first is a share of the work that each warmed-up server was recently sent, as an
+//! exponentially decaying sum. After a load has ended, or has moved off the warmed-up servers, that sum remembers it
+//! for longer than the overload window in the settings. The second bound is therefore the work that the settings allow
+//! within exactly that window.
 
 use crate::decaying_sum::DecayingSum;
 use crate::due_times::DueTimes;
 use crate::windowed_sum::WindowedSum;
 use crate::{Settings, Span, Time};
 
-/// A server that operators have restored is tried within this time, each balancer at a random moment of it: the first
-/// requests of all balancers must not meet on a server that is warming up.
+/// After operators have restored a server, a balancer sends it the first request after a random part of this time, so
+/// that the first requests of all balancers do not arrive together at a server that is warming up.
 const FIRST_TRY_PERIOD: Span = Span(4_000_000);
-/// About as many balancers make such a first try of a server, however many there are.
+/// The expected number of balancers that make such a first try of a server, however many balancers there are.
 const FIRST_TRIES_PER_SERVER: f64 = 8.0;
-/// The most due first tries that are looked at for a request.
+/// The maximum number of due first tries that are considered for a request.
 const MAX_DUE_FIRST_TRIES: usize = FIRST_TRIES_PER_SERVER as usize;
-/// With sparse traffic a server that is warming up is sent this fraction of the overload at which it fails.
+/// With sparse traffic, a server that is warming up is sent this fraction of the overload at which it fails.
 const SPARSE_OVERLOAD_FRACTION: f64 = 0.5;
-/// With sparse traffic a balancer may exceed its bound in the overload window by a request of mean work for so many
-/// balancers, and by one at least: the more there are, the more evenly chance spreads what all of them send.
+/// With sparse traffic, a balancer may exceed its bound in the overload window by one request of mean work per this
+/// many balancers, and by at least one: the more balancers there are, the more evenly random draws spread their
+/// requests.
 const BALANCERS_PER_SPARE_REQUEST: f64 = 10.0;
-/// The time constant of the load that a server was sent, as a fraction of the overload window.
-const LOAD_WINDOW_FRACTION: f64 = 0.5;
+/// The time constant of the decaying sums of sent work, as a fraction of the overload window.
+const SENT_TIME_CONSTANT_FRACTION: f64 = 0.5;
 
-/// The budget of the servers that are warming up.
+/// The budgets of the servers that are warming up.
 pub(crate) struct SlowStart {
     initial_capacity: f64,
     warm_up_time: Span,
     overload_factor: f64,
     overload_window: Span,
-    load_window_ms: f64,
+    sent_time_constant_ms: f64,
     balancers: u32,
-    /// The open servers that were warming up at the last check, by when they have warmed up.
+    /// The open servers that were warming up at the last check, by the time when their warm-up ends.
     warming: DueTimes,
+    /// When servers whose warm-up had ended were last removed from `warming`.
     checked_at: Time,
-    /// The average work that was sent to each warmed-up server.
+    /// The recent work per warmed-up server, in milliseconds.
     warm_sent: DecayingSum,
-    /// The same in the overload window.
+    /// The work per warmed-up server in the overload window, in milliseconds.
     warm_sent_in_window: WindowedSum,
-    /// The open servers that are to be tried after operators have restored them, by when.
+    /// The open servers that operators have restored and that are due for a first try, by due time.
     first_tries: DueTimes,
 }
 
-/// The slow start of one server.
+/// The slow-start state of a server.
 #[derive(Default)]
 pub(crate) struct ServerSlowStart {
+    /// When operators last uncordoned the server or restored its zone.
     restored_at: Option<Time>,
+    /// When the first try is due that this balancer has yet to make.
     first_try_by: Option<Time>,
-    /// The work that it was sent while it was warming up.
+    /// The recent work that the server was sent while it was warming up, in milliseconds.
     sent: DecayingSum,
-    /// The same in the overload window; kept apart, as few servers are warming up.
+    /// The same in the overload window. Allocated only when needed, as few servers are warming up.
     sent_in_window: Option<Box<WindowedSum>>,
 }
 
 impl ServerSlowStart {
-    /// Its process has restarted: what was sent to the previous one no longer counts.
+    /// Discards the work that was sent to the previous process after the server's process has restarted.
     pub(crate) fn restart(&mut self) {
         self.sent = DecayingSum::default();
         self.sent_in_window = None;
     }
 
-    /// Operators have restored the server; it counts as started then.
+    /// Records that operators have restored the server; its warm-up starts at that time.
     pub(crate) fn restore(&mut self, at: Time) {
         self.restored_at = Some(at);
     }
@@ -75,17 +80,18 @@
         self.restored_at
     }
 
-    /// When the server last started, as far as that is known: by the endpoint list or by the operators.
-    fn started_at(&self, listed: Option<Time>) -> Option<Time> {
-        listed.max(self.restored_at)
+    /// When the server's warm-up started: at its start according to the endpoint list or when operators restored it,
+    /// whichever is later. `None` if neither is known.
+    fn started_at(&self, listed_start: Option<Time>) -> Option<Time> {
+        listed_start.max(self.restored_at)
     }
 
-    /// The recent work that it was sent while it was warming up.
+    /// The recent work that the server was sent while it was warming up, in milliseconds.
     pub(crate) fn sent(&self, now: Time) -> f64 {
         self.sent.value(now)
     }
 
-    /// The work that it was sent in the overload window that ends now, at most.
+    /// An upper bound of the work that the server was sent in the overload window that ends at `now`.
     fn sent_in_window(&self, now: Time, window: Span) -> f64 {
         self.sent_in_window.as_ref().map_or(0.0, |sum| sum.upper_bound(now, window))
     }
@@ -94,7 +100,7 @@
         self.sent_in_window.get_or_insert_default().add(now, window, work);
     }
 
-    /// Whether it has yet to be tried after operators have restored it.
+    /// Whether this balancer has yet to make a first try of the server after operators have restored it.
     #[cfg(test)]
     pub(crate) fn has_first_try(&self) -> bool {
         self.first_try_by.is_some()
@@ -106,14 +112,14 @@
 }
 
 impl SlowStart {
-    /// The slow start that the settings describe.
+    /// The slow start for these settings, without any servers.
     pub(crate) fn new(settings: &Settings) -> Self {
         SlowStart {
             initial_capacity: settings.initial_capacity,
             warm_up_time: settings.warm_up_time,
             overload_factor: settings.overload_factor,
             overload_window: settings.overload_window,
-            load_window_ms: LOAD_WINDOW_FRACTION * settings.overload_window.as_ms(),
+            sent_time_constant_ms: SENT_TIME_CONSTANT_FRACTION * settings.overload_window.as_ms(),
             balancers: settings.balancers,
             warming: DueTimes::default(),
             checked_at: Time(0),
@@ -123,7 +129,8 @@
         }
     }
 
-    /// The fraction of its capacity that a server has for certain; `listed_start` is what the endpoint list says.
+    /// The slow-start factor: a lower bound of the fraction of its full capacity that a server has. `listed_start` is
+    /// the start of its process according to the endpoint list.
     pub(crate) fn factor(&self, server: &ServerSlowStart, listed_start: Option<Time>, now: Time) -> f64 {
         let Some(started_at) = server.started_at(listed_start) else { return 1.0 };
         let (age, warm_up_time) = (now.since(started_at).as_ms(), self.warm_up_time.as_ms());
@@ -134,9 +141,9 @@
         initial + (1.0 - initial) * age / warm_up_time
     }
 
-    /// Whether the budget of a server with this `factor` leaves the work of one more request. A server gets its
-    /// factor's share of what each warmed-up server was sent recently, and no more in the overload window than the
-    /// settings allow; a first try that is due is always made.
+    /// Whether the budget of a server permits `work` milliseconds more. A server is sent at most `factor` times the
+    /// recent work per warmed-up server, and in the overload window no more than the settings allow. A first try that
+    /// is due is always permitted.
     pub(crate) fn has_budget(
         &self,
         now: Time,
@@ -154,9 +161,10 @@
         !exceeds_window && !exceeds_share
     }
 
-    /// The same with sparse traffic, where the own attempts are too few to show a server's share: that is kept by chance
-    /// ([`SlowStart::accepts_candidate`]). Chance is not even for few balancers, so what the settings allow in the overload window
-    /// binds as well, with some requests of mean work to spare.
+    /// Whether the budget of a server permits one more request with sparse traffic. The balancer's own attempts are
+    /// then too few to measure a server's share, so [`SlowStart::accepts_candidate`] limits it by random choice
+    /// instead. With few balancers that is uneven, so the limit of the overload window also applies, exceeded by some
+    /// requests of mean work at most.
     pub(crate) fn has_sparse_budget(
         &self,
         now: Time,
@@ -174,27 +182,35 @@
         !exceeds_window
     }
 
-    /// Whether a budget binds a server: it is warming up, there are warmed-up servers to go by, and no first try is due.
+    /// Whether a budget applies to a server: it is warming up, no first try of it is due, and there are warmed-up
+    /// servers to derive a budget from.
     fn is_budgeted(&self, now: Time, server: &ServerSlowStart, factor: f64, open_servers: usize) -> bool {
         factor < 1.0 && self.warm_count(open_servers) > 0 && !server.is_first_try_due(now)
     }
 
-    /// The work that a server with this `factor` may be sent in the overload window, next to what the warmed-up servers
-    /// were sent there.
+    /// The work that a server may be sent in the overload window, in milliseconds: as many times the work per
+    /// warmed-up server in that window as the overload factor and the slow-start `factor` allow.
     fn allowed_in_window(&self, now: Time, factor: f64) -> f64 {
         let warm_sent = self.warm_sent_in_window.lower_bound(now, self.overload_window);
         self.overload_factor.max(1.0) * factor * warm_sent
     }
 
-    /// Whether a server that was drawn at random stays a candidate, with sparse traffic: so often that all balancers
-    /// together send it its factor's share, and more by half of the overload that it takes, as most servers are warmer
-    /// than is certain. A candidate that wins the pick because it is idle stays once for all those that it wins over.
-    pub(crate) fn accepts_candidate(&self, factor: f64, outranked: usize, rng: &mut fastrand::Rng) -> bool {
+    /// Whether a server that was drawn at random stays a candidate with sparse traffic. The probability is such that
+    /// all balancers together send it `factor` times the work of a warmed-up server, further multiplied by
+    /// [`SPARSE_OVERLOAD_FRACTION`] of the overload factor where that is above 1, as most servers have more capacity
+    /// than the lower bound. A candidate that is idle is selected out of all `candidate_count` that are compared, so
+    /// the probability is divided by that number.
+    pub(crate) fn accepts_candidate(
+        &self,
+        factor: f64,
+        candidate_count: usize,
+        rng: &mut fastrand::Rng,
+    ) -> bool {
         let overload_multiple = (SPARSE_OVERLOAD_FRACTION * self.overload_factor).max(1.0);
-        factor >= 1.0 || rng.f64() * (outranked as f64) < overload_multiple * factor
+        factor >= 1.0 || rng.f64() * (candidate_count as f64) < overload_multiple * factor
     }
 
-    /// Records the work of a request that a server with this `factor` is sent.
+    /// Records that a server is sent a request of `work` milliseconds.
     pub(crate) fn record_send(
         &mut self,
         now: Time,
@@ -204,35 +220,35 @@
         work: f64,
     ) {
         if factor < 1.0 {
-            server.sent.add(now, self.load_window_ms, work);
+            server.sent.add(now, self.sent_time_constant_ms, work);
             server.add_to_window(now, self.overload_window, work);
         } else {
             let share = work / self.warm_count(open_servers).max(1) as f64;
-            self.warm_sent.add(now, self.load_window_ms, share);
+            self.warm_sent.add(now, self.sent_time_constant_ms, share);
             self.warm_sent_in_window.add(now, self.overload_window, share);
             server.sent_in_window = None;
         }
         server.first_try_by = None;
     }
 
-    /// Adds the work that warmed-up servers were sent according to a snapshot.
+    /// Adds the work per warmed-up server from a snapshot, in milliseconds.
     pub(crate) fn restore_warm_sent(&mut self, now: Time, work: f64) {
-        self.warm_sent.add(now, self.load_window_ms, work);
+        self.warm_sent.add(now, self.sent_time_constant_ms, work);
         self.warm_sent_in_window.add(now, self.overload_window, work);
     }
 
-    /// Adds the work that a server was sent according to a snapshot.
+    /// Adds the work that a server was sent according to a snapshot, in milliseconds.
     pub(crate) fn restore_sent(&self, now: Time, server: &mut ServerSlowStart, work: f64) {
-        server.sent.add(now, self.load_window_ms, work);
+        server.sent.add(now, self.sent_time_constant_ms, work);
         server.add_to_window(now, self.overload_window, work);
     }
 
-    /// The recent average work that was sent to each warmed-up server.
+    /// The recent work per warmed-up server, in milliseconds.
     pub(crate) fn warm_sent(&self, now: Time) -> f64 {
         self.warm_sent.value(now)
     }
 
-    /// Draws whether, and by when, this balancer makes a first try of a server that operators have restored.
+    /// Decides at random whether and when this balancer makes a first try of a server that operators restored at `at`.
     pub(crate) fn schedule_first_try(&self, server: &mut ServerSlowStart, at: Time, rng: &mut fastrand::Rng) {
         let probability = FIRST_TRIES_PER_SERVER / f64::from(self.balancers.max(1));
         let by = at + FIRST_TRY_PERIOD * rng.f64();
@@ -241,12 +257,12 @@
         }
     }
 
-    /// The servers whose first try is due.
+    /// The slots of servers whose first try is due, at most [`MAX_DUE_FIRST_TRIES`] of them.
     pub(crate) fn due_first_tries(&self, now: Time) -> impl Iterator<Item = usize> + '_ {
         self.first_tries.due(now).take(MAX_DUE_FIRST_TRIES)
     }
 
-    /// Updates the indexes after a change of a server.
+    /// Updates the indexes of warm-ups and first tries after a change of a server.
     pub(crate) fn index(
         &mut self,
         slot: usize,
@@ -255,12 +271,12 @@
         is_open: bool,
     ) {
         let has_warm_up = self.initial_capacity < 1.0 && self.warm_up_time > Span::ZERO;
-        let warm_at = server.started_at(listed_start).map(|at| at + self.warm_up_time);
-        self.warming.set(slot, warm_at.filter(|at| is_open && has_warm_up && *at > self.checked_at));
+        let warmed_up_at = server.started_at(listed_start).map(|at| at + self.warm_up_time);
+        self.warming.set(slot, warmed_up_at.filter(|at| is_open && has_warm_up && *at > self.checked_at));
         self.first_tries.set(slot, server.first_try_by.filter(|_| is_open));
     }
 
-    /// Removes the servers that have warmed up by now from those that are warming up.
+    /// Removes the servers whose warm-up has ended from the index of those that are warming up.
     pub(crate) fn check(&mut self, now: Time) {
         self.checked_at = now;
         for slot in self.warming.due(now).collect::<Vec<_>>() {
@@ -268,12 +284,12 @@
         }
     }
 
-    /// Of so many open servers those that had warmed up at the last check.
+    /// How many of the `open_servers` had warmed up at the last check.
     pub(crate) fn warm_count(&self, open_servers: usize) -> usize {
         open_servers - self.warming.len()
     }
 
-    /// When the servers were last checked.
+    /// When servers whose warm-up had ended were last removed from the index.
     #[cfg(test)]
     pub(crate) fn checked_at(&self) -> Time {
         self.checked_at
@@ -285,7 +301,7 @@
         self.warming.len()
     }
 
-    /// All servers that are to be tried after operators have restored them.
+    /// The slots of all servers that have a first try scheduled.
     #[cfg(test)]
     pub(crate) fn all_first_tries(&self) -> Vec<usize> {
         self.first_tries.due(Time(u64::MAX)).collect()
--- a/src/snapshot/tests.rs
+++ b/src/snapshot/tests.rs
@@ -18,12 +18,12 @@
 }
 
 #[test]
-fn a_plausible_server_is_restored_as_it_was() {
+fn a_server_within_bounds_is_restored_unchanged() {
     assert_eq!(server().bounded(&BOUNDS), Some(server()));
 }
 
 #[test]
-fn what_lies_beyond_the_bounds_is_restored_within_them() {
+fn values_out_of_bounds_are_clamped() {
     let extreme = ServerSnapshot { limit: 1e9, slowdown: 1e9, latency: 1e9, ..server() };
     let bounded = extreme.bounded(&BOUNDS).expect("usable");
     assert_eq!((bounded.limit, bounded.slowdown, bounded.latency), (100.0, 8.0, 1.0));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn implausible_numbers_are_left_out_one_by_one() {
+fn implausible_numbers_are_ignored() {
     for value in IMPLAUSIBLE {
         assert_eq!(ServerSnapshot { limit: value, ..server() }.bounded(&BOUNDS), None);
         assert_eq!(ServerSnapshot { slowdown: value, ..server() }.bounded(&BOUNDS), None);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn of_a_large_fleet_ejected_and_measured_servers_are_kept() {
+fn a_snapshot_of_a_large_fleet_keeps_the_ejected_and_the_most_recently_measured_servers() {
     let count = 3 * MAX_SNAPSHOT_SERVERS;
     let mut servers: Vec<usize> = (0..count).collect();
     select_snapshot_servers(&mut servers, |server| SnapshotPriority {
@@ -70,7 +70,10 @@
         last_response_at: Time(*server as u64),
     });
     assert_eq!(servers.len(), MAX_SNAPSHOT_SERVERS);
-    assert!(servers.contains(&7), "the ejected one");
+    assert!(servers.contains(&7), "the ejected server is kept");
     let latest = count - (MAX_SNAPSHOT_SERVERS - 1);
-    assert!(servers.iter().all(|server| *server == 7 || *server >= latest), "and the latest measured ones");
+    assert!(
+        servers.iter().all(|server| *server == 7 || *server >= latest),
+        "the most recently measured servers are kept"
+    );
 }
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -1,4 +1,5 @@
-//! What is kept by increments is what a walk over all servers would find, whatever happens in whatever order.
+//! Random sequences of events check that the state that is updated incrementally equals what is computed from all
+//! servers.
 
 use crate::endpoints::DrawPool;
 use crate::retries::RetryScope;
@@ -9,7 +10,7 @@
 const ZONES: u32 = 5;
 const CELLS: u32 = 12;
 
-fn settings(pick: u64) -> Settings {
+fn settings(variant: u64) -> Settings {
     let idempotencies = [
         Idempotency::Idempotent,
         Idempotency::AtMostOnce,
@@ -19,14 +20,14 @@
     let class =
         |idempotency| Class { idempotency, latency_objective: Span::from_ms(100.0), ..Class::default() };
     Settings {
-        balancers: [1, 3, 9, 500][pick as usize % 4],
+        balancers: [1, 3, 9, 500][variant as usize % 4],
         zone: ZoneId(1),
         classes: idempotencies.into_iter().map(class).collect(),
-        prices: Prices { cross_zone: [0.0, 0.05][pick as usize % 2], ..Prices::default() },
-        key_affinity: pick % 2 == 0,
-        health_checks: pick % 3 == 0,
-        initial_capacity: [0.2, 1.0][usize::from(pick % 7 == 6)],
-        warm_up_time: Span::from_ms([3000.0, 0.0][usize::from(pick % 11 == 10)]),
+        prices: Prices { cross_zone: [0.0, 0.05][variant as usize % 2], ..Prices::default() },
+        key_affinity: variant % 2 == 0,
+        health_checks: variant % 3 == 0,
+        initial_capacity: [0.2, 1.0][usize::from(variant % 7 == 6)],
+        warm_up_time: Span::from_ms([3000.0, 0.0][usize::from(variant % 11 == 10)]),
         ..Settings::default()
     }
 }
@@ -36,51 +37,76 @@
     slots
 }
 
-/// Compares all that is kept over the servers with what a walk over them finds.
-fn check(b: &mut Balancer, median: bool) {
-    b.fleet.endpoints.assert_consistent();
-    let used: BTreeSet<usize> = b.fleet.endpoints.used_slots().collect();
-    let server = |slot: usize| b.fleet.endpoints.server(slot);
-    let those = |so: &dyn Fn(usize) -> bool| used.iter().copied().filter(|&i| so(i)).collect::<Vec<_>>();
-    let open = |i: usize| server(i).is_open;
-    let ejected = |i: usize| open(i) && server(i).health.is_ejected();
-    assert_eq!(b.fleet.outliers.ejected().iter().copied().collect::<Vec<_>>(), those(&ejected), "ejected");
-    let warm =
-        |i: usize| open(i) && b.fleet.slow_start_factor(b.fleet.slow_start.checked_at(), server(i)) >= 1.0;
-    assert_eq!(b.fleet.slow_start.warm_count(b.fleet.endpoints.open().len()), those(&warm).len(), "warm");
-    let first_try = |i: usize| open(i) && server(i).slow_start.has_first_try();
-    assert_eq!(sorted(b.fleet.slow_start.all_first_tries()), those(&first_try), "first tries");
-    assert!(b.selection.remembered().iter().all(|&m| open(m)), "a closed server is remembered");
-    let mut out: BTreeMap<usize, u32> = BTreeMap::new();
-    b.pending.attempts().for_each(|(_, attempt)| *out.entry(attempt.server).or_default() += 1);
-    for (slot, s) in b.fleet.endpoints.servers().iter().enumerate() {
-        let in_flight = out.get(&slot).copied().unwrap_or(0);
-        assert_eq!(s.connections.in_flight(), in_flight, "in flight at slot {slot}");
+/// Compares the incrementally updated state with what is computed from all servers; the median latency only if
+/// `check_median` is set.
+fn check_state(balancer: &mut Balancer, check_median: bool) {
+    balancer.fleet.endpoints.assert_consistent();
+    let used: BTreeSet<usize> = balancer.fleet.endpoints.used_slots().collect();
+    let server = |slot: usize| balancer.fleet.endpoints.server(slot);
+    let slots_where = |predicate: &dyn Fn(usize) -> bool| {
+        used.iter().copied().filter(|&slot| predicate(slot)).collect::<Vec<_>>()
+    };
+    let open = |slot: usize| server(slot).is_open;
+    let ejected = |slot: usize| open(slot) && server(slot).health.is_ejected();
+    assert_eq!(
+        balancer.fleet.outliers.ejected().iter().copied().collect::<Vec<_>>(),
+        slots_where(&ejected),
+        "ejected"
+    );
+    let warmed_up = |slot: usize| {
+        open(slot)
+            && balancer.fleet.slow_start_factor(balancer.fleet.slow_start.checked_at(), server(slot)) >= 1.0
+    };
+    assert_eq!(
+        balancer.fleet.slow_start.warm_count(balancer.fleet.endpoints.open().len()),
+        slots_where(&warmed_up).len(),
+        "warmed up"
+    );
+    let first_try = |slot: usize| open(slot) && server(slot).slow_start.has_first_try();
+    assert_eq!(sorted(balancer.fleet.slow_start.all_first_tries()), slots_where(&first_try), "first tries");
+    assert!(
+        balancer.selection.remembered().iter().all(|&slot| open(slot)),
+        "a remembered server is not open"
+    );
+    let mut in_flight_by_slot: BTreeMap<usize, u32> = BTreeMap::new();
+    balancer
+        .pending
+        .attempts()
+        .for_each(|(_, attempt)| *in_flight_by_slot.entry(attempt.server).or_default() += 1);
+    for (slot, server) in balancer.fleet.endpoints.servers().iter().enumerate() {
+        let in_flight = in_flight_by_slot.get(&slot).copied().unwrap_or(0);
+        assert_eq!(server.connections.in_flight(), in_flight, "in flight at slot {slot}");
     }
-    assert!(out.keys().all(|i| used.contains(i)), "a slot was freed under an attempt");
+    assert!(
+        in_flight_by_slot.keys().all(|slot| used.contains(slot)),
+        "a slot with an attempt in flight was freed"
+    );
 
-    if median {
-        let judged = |s: &&Server| s.endpoint.status == Status::Serving && s.latency.samples() > 0;
-        let servers = b.fleet.endpoints.servers().iter().filter(judged);
-        let mut latencies: Vec<f64> = servers.map(|s| s.latency.smoothed()).collect();
+    if check_median {
+        let has_latency =
+            |server: &&Server| server.endpoint.status == Status::Serving && server.latency.samples() > 0;
+        let servers = balancer.fleet.endpoints.servers().iter().filter(has_latency);
+        let mut latencies: Vec<f64> = servers.map(|server| server.latency.smoothed()).collect();
         latencies.sort_by(f64::total_cmp);
-        let expected = latencies.get(latencies.len() / 2).map_or(b.fleet.latencies.median(), |m| m.max(0.01));
-        b.fleet.update_median_latency();
-        assert_eq!(b.fleet.latencies.median(), expected, "median of {latencies:?}");
+        let expected = latencies
+            .get(latencies.len() / 2)
+            .map_or(balancer.fleet.latencies.median(), |median| median.max(0.01));
+        balancer.fleet.update_median_latency();
+        assert_eq!(balancer.fleet.latencies.median(), expected, "median of {latencies:?}");
     }
 }
 
-/// What a walk has met; a walk that meets little shows little.
+/// The states that a walk has reached. The test requires a minimum of each, as it would otherwise check little.
 #[derive(Default)]
-struct Seen {
-    reused: bool,
+struct Coverage {
+    slot_reused: bool,
     ejected: bool,
     first_try: bool,
     warming: bool,
-    region: bool,
+    own_region: bool,
 }
 
-/// A balancer on a random walk through events.
+/// A balancer that is passed random events.
 struct Walk {
     rng: fastrand::Rng,
     balancer: Balancer,
@@ -89,23 +115,23 @@
     in_flight: Vec<(RequestId, AttemptNo, Time)>,
     attempts: BTreeMap<RequestId, u32>,
     next_server: u32,
-    seen: Seen,
+    coverage: Coverage,
 }
 
 impl Walk {
-    fn new(pick: u64) -> Self {
-        let mut balancer = Balancer::new(settings(pick), pick).expect("usable settings");
+    fn new(variant: u64) -> Self {
+        let mut balancer = Balancer::new(settings(variant), variant).expect("valid settings");
         let now = Time::from_ms(10_000.0);
         balancer.start(now, &mut Vec::new());
         Walk {
-            rng: fastrand::Rng::with_seed(pick),
+            rng: fastrand::Rng::with_seed(variant),
             balancer,
             now,
             listed: BTreeMap::new(),
             in_flight: Vec::new(),
             attempts: BTreeMap::new(),
             next_server: 0,
-            seen: Seen::default(),
+            coverage: Coverage::default(),
         }
     }
 
@@ -125,13 +151,13 @@
             }
         }
         let fleet = &self.balancer.fleet;
-        let region = fleet.endpoints.draw_pool(DrawPool::OwnRegion, RetryScope::Anywhere);
-        self.seen.reused |= fleet.endpoints.free_slot_count() < free_slots;
-        self.seen.ejected |= !fleet.outliers.ejected().is_empty();
-        self.seen.first_try |= !fleet.slow_start.all_first_tries().is_empty();
-        self.seen.warming |= fleet.slow_start.warming_count() > 0;
-        self.seen.region |= !region.is_empty();
-        check(&mut self.balancer, self.rng.u32(0..6) == 0);
+        let own_region = fleet.endpoints.draw_pool(DrawPool::OwnRegion, RetryScope::Anywhere);
+        self.coverage.slot_reused |= fleet.endpoints.free_slot_count() < free_slots;
+        self.coverage.ejected |= !fleet.outliers.ejected().is_empty();
+        self.coverage.first_try |= !fleet.slow_start.all_first_tries().is_empty();
+        self.coverage.warming |= fleet.slow_start.warming_count() > 0;
+        self.coverage.own_region |= !own_region.is_empty();
+        check_state(&mut self.balancer, self.rng.u32(0..6) == 0);
     }
 
     fn event(&mut self, step: u32) -> Event {
@@ -181,7 +207,7 @@
         }
     }
 
-    /// One of the servers that were new last.
+    /// One of the 60 servers that were added last; until there are as many, also one that does not exist yet.
     fn any_server(&mut self) -> ServerId {
         let end = self.next_server.max(60);
         ServerId(self.rng.u32(end - 60..end))
@@ -191,7 +217,7 @@
         ZoneId(self.rng.u32(0..ZONES))
     }
 
-    /// New servers, which get the slots of removed ones, and a few that change place.
+    /// New servers, which reuse the slots of removed ones, and a few known servers that change their zone and cell.
     fn new_endpoints(&mut self) -> Vec<Endpoint> {
         let mut entries = Vec::new();
         for _ in 0..self.rng.u32(1..9) {
@@ -210,8 +236,8 @@
     fn changed_endpoints(&mut self) -> Vec<Endpoint> {
         let mut entries = Vec::new();
         for _ in 0..self.rng.usize(1..6) {
-            let at = self.rng.usize(0..self.listed.len());
-            let Some(entry) = self.listed.values_mut().nth(at) else { continue };
+            let index = self.rng.usize(0..self.listed.len());
+            let Some(entry) = self.listed.values_mut().nth(index) else { continue };
             entry.status = [Status::Serving, Status::Draining, Status::Gone][self.rng.usize(0..3)];
             entry.started = if self.rng.u32(0..4) == 0 { Some(self.now) } else { entry.started };
             entries.push(entry.clone());
@@ -228,8 +254,8 @@
     }
 
     fn outcome(&mut self) -> Event {
-        let at = self.rng.usize(0..self.in_flight.len());
-        let (request, attempt, sent_at) = self.in_flight.swap_remove(at);
+        let index = self.rng.usize(0..self.in_flight.len());
+        let (request, attempt, sent_at) = self.in_flight.swap_remove(index);
         let failures = [Outcome::ServerError, Outcome::TimedOut, Outcome::Rejected, Outcome::ConnectFailed];
         let is_failure = self.rng.u32(0..3) == 0;
         let outcome = if is_failure { failures[self.rng.usize(0..4)] } else { Outcome::Success };
@@ -238,53 +264,57 @@
     }
 }
 
-fn walk(pick: u64, steps: u32) -> Seen {
-    let mut walk = Walk::new(pick);
+fn random_walk(variant: u64, steps: u32) -> Coverage {
+    let mut walk = Walk::new(variant);
     (0..steps).for_each(|step| walk.step(step));
-    walk.seen
+    walk.coverage
 }
 
 #[test]
-fn increments_equal_a_walk_over_all_servers() {
-    let walks: Vec<Seen> = (0..16).map(|pick| walk(pick, 800)).collect();
-    let count = |so: fn(&Seen) -> bool| walks.iter().filter(|seen| so(seen)).count();
+fn incremental_state_equals_what_is_computed_from_all_servers() {
+    let walks: Vec<Coverage> = (0..16).map(|variant| random_walk(variant, 800)).collect();
+    let count = |reached: fn(&Coverage) -> bool| walks.iter().filter(|coverage| reached(coverage)).count();
     let counts = [
-        ("reused", count(|s| s.reused)),
-        ("ejected", count(|s| s.ejected)),
-        ("first try", count(|s| s.first_try)),
-        ("warming", count(|s| s.warming)),
-        ("region", count(|s| s.region)),
+        ("a reused slot", count(|coverage| coverage.slot_reused)),
+        ("an ejected server", count(|coverage| coverage.ejected)),
+        ("a scheduled first try", count(|coverage| coverage.first_try)),
+        ("a server that is warming up", count(|coverage| coverage.warming)),
+        ("a server of the own region", count(|coverage| coverage.own_region)),
     ];
     for (what, count) in counts {
         assert!(
             count > walks.len() / 3,
-            "only {count} of {} walks have met {what}: they show little",
+            "only {count} of {} walks have reached {what}: too few for this test",
             walks.len()
         );
     }
 }
 
-/// A whole list that says what is known changes nothing, not even the order in which servers are drawn.
+/// An endpoint list without changes changes no state, including the order of the servers that random draws depend on.
 #[test]
-fn a_list_that_changes_nothing_changes_nothing() {
-    let mut b = Balancer::new(settings(1), 1).expect("usable settings");
+fn an_endpoint_list_without_changes_keeps_the_order_of_the_servers() {
+    let mut balancer = Balancer::new(settings(1), 1).expect("valid settings");
     let now = Time::from_ms(1000.0);
-    let line = |i: u32| Endpoint { zone: ZoneId(i % ZONES), ..Endpoint::serving(ServerId(i)) };
-    let lines: Vec<Endpoint> = (0..200).map(line).collect();
-    let mut out = Vec::new();
-    b.handle(now, Event::Endpoints(EndpointUpdate::Complete(lines.clone())), &mut out);
-    b.handle(
+    let entry =
+        |server: u32| Endpoint { zone: ZoneId(server % ZONES), ..Endpoint::serving(ServerId(server)) };
+    let entries: Vec<Endpoint> = (0..200).map(entry).collect();
+    let mut actions = Vec::new();
+    balancer.handle(now, Event::Endpoints(EndpointUpdate::Complete(entries.clone())), &mut actions);
+    balancer.handle(
         now,
-        Event::Endpoints(EndpointUpdate::Changes(vec![Endpoint { status: Status::Gone, ..line(7) }])),
-        &mut out,
+        Event::Endpoints(EndpointUpdate::Changes(vec![Endpoint { status: Status::Gone, ..entry(7) }])),
+        &mut actions,
     );
-    b.handle(now, Event::Endpoints(EndpointUpdate::Changes(vec![line(7)])), &mut out);
-    let order = |b: &Balancer| {
-        (b.fleet.endpoints.open().to_vec(), b.fleet.endpoints.open_by_zone().members(ZoneId(1)).to_vec())
+    balancer.handle(now, Event::Endpoints(EndpointUpdate::Changes(vec![entry(7)])), &mut actions);
+    let order = |balancer: &Balancer| {
+        (
+            balancer.fleet.endpoints.open().to_vec(),
+            balancer.fleet.endpoints.open_by_zone().members(ZoneId(1)).to_vec(),
+        )
     };
-    let before = order(&b);
-    let shuffled: Vec<Endpoint> = lines.iter().rev().cloned().collect();
-    b.handle(now, Event::Endpoints(EndpointUpdate::Complete(shuffled)), &mut out);
-    b.handle(now, Event::Endpoints(EndpointUpdate::Changes(lines)), &mut out);
-    assert_eq!(order(&b), before);
+    let before = order(&balancer);
+    let reversed: Vec<Endpoint> = entries.iter().rev().cloned().collect();
+    balancer.handle(now, Event::Endpoints(EndpointUpdate::Complete(reversed)), &mut actions);
+    balancer.handle(now, Event::Endpoints(EndpointUpdate::Changes(entries)), &mut actions);
+    assert_eq!(order(&balancer), before);
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,8 +1,8 @@
-//! Time as the caller hands it in: moments and durations in whole microseconds.
+//! Points in time and durations in whole microseconds. The caller passes in the time; the balancer reads no clock.
 
 use std::ops::{Add, Mul, Sub};
 
-/// A moment on the caller's clock, in microseconds since any epoch.
+/// A point in time on the caller's clock, in microseconds since an epoch that the caller chooses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(pub u64);
 
@@ -11,9 +11,9 @@
 pub struct Span(pub u64);
 
 impl Time {
-    /// Later than any moment that a clock shows.
+    /// Later than any time that a caller passes in.
     pub(crate) const NEVER: Time = Time(u64::MAX / 2);
-    /// The moment `ms` milliseconds after the epoch; a negative value or NaN counts as the epoch.
+    /// The time `ms` milliseconds after the epoch; a negative value or NaN gives the epoch.
     pub fn from_ms(ms: f64) -> Self {
         Time(Span::from_ms(ms).0)
     }
@@ -21,16 +21,16 @@
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1e3
     }
-    /// The time elapsed since `earlier`, zero if `earlier` lies in the future.
+    /// The time elapsed since `earlier`; zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Span {
-    /// The empty duration.
+    /// A duration of length zero.
     pub const ZERO: Span = Span(0);
-    /// `ms` milliseconds; a negative value or NaN counts as zero.
+    /// `ms` milliseconds; a negative value or NaN gives zero.
     pub fn from_ms(ms: f64) -> Self {
         Span((ms * 1e3).round() as u64)
     }
@@ -38,7 +38,7 @@
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1e3
     }
-    /// This duration less `other`, never below zero.
+    /// The difference to `other`; zero if `other` is longer.
     pub fn saturating_sub(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
     }
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,63 +1,65 @@
-//! What a balancer shows of its state to operators.
+//! The parts of a balancer's state that are shown to operators.
 
 use crate::{ClassId, ServerId, Status, Time, ZoneId};
 
-/// The number of endpoints, for metrics.
+/// The numbers of servers, for metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EndpointCounts {
-    /// Servers in the endpoint list, draining ones included.
+    /// The servers in the endpoint list, including draining ones.
     pub listed: usize,
-    /// Those of them that the balancer avoids now.
+    /// The listed servers that currently get no requests or, as outliers, hardly any.
     pub avoided: usize,
 }
 
 /// A balancer's view of one server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerView {
-    /// The server.
+    /// The server that the view is of.
     pub server: ServerId,
-    /// Its zone.
+    /// The zone that the server runs in.
     pub zone: ZoneId,
-    /// What the endpoint list says of it.
+    /// The server's status in the endpoint list.
     pub status: Status,
-    /// An operator has cordoned it.
+    /// Whether an operator has cordoned the server.
     pub cordoned: bool,
-    /// It is an outlier: ejected and on probation, or sent a small part of its share for a while.
+    /// Whether the server is an outlier: ejected and on probation, or limited to a small part of its share for a
+    /// while.
     pub outlier: bool,
-    /// Own attempts in flight to it.
+    /// This balancer's attempts in flight at the server.
     pub in_flight: u32,
-    /// Its concurrency limit: own attempts that it may have in flight now.
+    /// The concurrency limit: how many attempts this balancer may have in flight at the server.
     pub limit: f64,
-    /// The fraction of its capacity that it has for certain, from 0 to 1; below 1 it is warming up.
+    /// The lower bound of the fraction of its full capacity that the server has, from 0 to 1. Below 1 it is warming
+    /// up.
     pub slow_start_factor: f64,
 }
 
-/// How far a balancer uses a zone.
+/// To what extent a balancer sends requests to a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ZonePhase {
-    /// Like any other zone.
+    /// The zone is used without restriction.
     Serving,
-    /// Decreasingly, because it fails or is slow.
+    /// The share of requests is being reduced because the zone fails or is slow.
     Leaving,
-    /// Only for probation requests.
+    /// The zone gets only probation requests.
     Away,
-    /// Increasingly, as long as its responses are good: the recovery ramp.
+    /// The recovery ramp: the share of requests grows as long as the responses are good.
     Returning,
 }
 
 /// A balancer's view of a zone.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ZoneView {
-    /// The zone.
+    /// The zone that the view is of.
     pub zone: ZoneId,
-    /// The class that this view is about; `None` for all of them.
+    /// The class that the view applies to; `None` for all classes.
     pub class: Option<ClassId>,
-    /// How far the zone is in use.
+    /// To what extent the zone is used.
     pub phase: ZonePhase,
-    /// The fraction of the draws of this zone that are used, from 0 to 1.
+    /// The fraction of the random draws from this zone that are used, from 0 to 1.
     pub share: f64,
-    /// Why; empty if the zone has always been serving.
+    /// Why the phase or the share last changed; empty if they never have.
     pub reason: &'static str,
-    /// Since when; zero if always.
+    /// When the phase or the share last changed; zero if they never have.
     pub since: Time,
 }
--- a/src/windowed_sum/tests.rs
+++ b/src/windowed_sum/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Each term counts for the whole window and for a sixteenth of it at most after that.
+/// A term is counted for the length of the window and, in the upper bound, for at most a sixteenth of it longer.
 #[test]
-fn a_window_holds_what_was_added_in_it() {
+fn the_sum_contains_the_terms_of_the_window() {
     let window = Span::from_ms(1000.0);
     let at = |ms: u64| Time(50_000_000 + 1000 * ms);
     for begin in (0..200).step_by(7) {
@@ -19,9 +19,9 @@
     }
 }
 
-/// A clock that goes back adds to the newest interval, and a window of no length holds next to nothing.
+/// If the clock goes back, terms are added to the newest interval. A window of length zero has intervals of 1 us.
 #[test]
-fn clocks_that_go_back_and_empty_windows_do_no_harm() {
+fn a_clock_that_goes_back_and_an_empty_window_are_handled() {
     let mut sum = WindowedSum::default();
     sum.add(Time(5_000_000), Span::from_ms(1000.0), 1.0);
     sum.add(Time(1), Span::from_ms(1000.0), 1.0);
