--- a/src/balancer/servers.rs
+++ b/src/balancer/servers.rs
@@ -207,7 +207,7 @@
     pub(super) fn apply_due_changes(&mut self, now: Time) {
         let load_queries = &self.load_queries;
         self.fleet.endpoints.free_slots(now, |slot| load_queries.has_candidate(slot));
-        self.fleet.slow_start.check(now);
+        self.fleet.slow_start.remove_warmed_up(now);
     }
 
     pub(super) fn set_regions(
--- a/src/connections.rs
+++ b/src/connections.rs
@@ -10,7 +10,7 @@
     in_flight: u32,
     /// The attempts in flight whose request bodies are still being received.
     uploading: u32,
-    /// The idle connections.
+    /// The number of connections that are assumed to be idle.
     idle: u32,
     /// When the most recent connection became idle.
     idle_since: Time,
@@ -37,7 +37,7 @@
         self.in_flight - self.uploading
     }
 
-    /// Whether there is an idle connection that the server has not closed yet for certain.
+    /// Whether there is an idle connection that has not been idle for long enough to be closed by the server.
     pub(crate) fn has_reusable_connection(&self, now: Time, keepalive: Span) -> bool {
         self.idle > 0 && now.since(self.idle_since) < keepalive * REUSABLE_KEEPALIVE_FRACTION
     }
--- a/src/event.rs
+++ b/src/event.rs
@@ -86,11 +86,11 @@
 pub enum Event {
     /// A request has arrived.
     Request(Request),
-    /// The first byte of a streamed response has been forwarded, so no other attempt can answer the request any more.
+    /// A streamed response has begun. From now on, only this attempt can answer the request.
     FirstByte {
         /// The request that is being answered.
         request: RequestId,
-        /// The attempt whose response is being forwarded.
+        /// The attempt whose response has begun.
         attempt: AttemptNo,
     },
     /// An attempt has ended.
@@ -118,12 +118,12 @@
     },
     /// Part of the request body has been forwarded without a copy being kept, so the body cannot be sent again.
     BodyConsumed {
-        /// The request that can no longer be sent to another server.
+        /// The request whose body cannot be sent again.
         request: RequestId,
     },
     /// A response that was reported as [`Outcome::Success`] when it began has been aborted before its end.
     ResponseAborted {
-        /// The server that aborted its response.
+        /// The server that sent the response.
         server: ServerId,
     },
     /// The client has disconnected or has cancelled the request; it needs no answer any more.
--- a/src/load_report.rs
+++ b/src/load_report.rs
@@ -48,7 +48,9 @@
 /// The load of a server according to its last report.
 #[derive(Debug, Default)]
 pub(crate) struct ReportedLoad {
+    /// The requests in the last report; 0 before the first one.
     requests: f64,
+    /// When the last report arrived.
     reported_at: Option<Time>,
     /// This balancer's requests sent to the server since the report.
     sent_since: u32,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -319,11 +319,13 @@
         match self {
             SettingsError::NoClasses => write!(f, "settings name no request class; at least one is needed"),
             SettingsError::BadNumber { setting, value } => {
-                write!(f, "setting {setting} is {value}; a finite number of zero or more is needed")
+                write!(f, "setting {setting} is {value}; it must be finite and not negative")
+            }
+            SettingsError::ZeroSpan { setting } => {
+                write!(f, "setting {setting} is zero; it must be a positive duration")
             }
-            SettingsError::ZeroSpan { setting } => write!(f, "setting {setting} is zero; it must be longer"),
             SettingsError::NoAttempts => {
-                write!(f, "settings allow no attempt for a request; at least one is needed")
+                write!(f, "setting max_attempts is zero; a request needs at least one attempt")
             }
         }
     }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -14,8 +14,8 @@
 use crate::windowed_sum::WindowedSum;
 use crate::{Settings, Span, Time};
 
-/// After operators have restored a server, a balancer sends it the first request after a random part of this time, so
-/// that the first requests of all balancers do not arrive together at a server that is warming up.
+/// After operators have restored a server, a balancer that makes a first try of it does so after a random part of this
+/// time, so that the first requests of all balancers do not arrive together at a server that is warming up.
 const FIRST_TRY_PERIOD: Span = Span(4_000_000);
 /// The expected number of balancers that make such a first try of a server, however many balancers there are.
 const FIRST_TRIES_PER_SERVER: f64 = 8.0;
@@ -46,7 +46,7 @@
     warm_sent: DecayingSum,
     /// The work per warmed-up server in the overload window, in milliseconds.
     warm_sent_in_window: WindowedSum,
-    /// The open servers that operators have restored and that are due for a first try, by due time.
+    /// The open servers that operators have restored and that this balancer has yet to try, by due time.
     first_tries: DueTimes,
 }
 
@@ -55,8 +55,8 @@
 pub(crate) struct ServerSlowStart {
     /// When operators last uncordoned the server or restored its zone.
     restored_at: Option<Time>,
-    /// When the first try is due that this balancer has yet to make.
-    first_try_by: Option<Time>,
+    /// When this balancer's first try of the server is due; `None` if it makes none or has made it.
+    first_try_due_at: Option<Time>,
     /// The recent work that the server was sent while it was warming up, in milliseconds.
     sent: DecayingSum,
     /// The same in the overload window. Allocated only when needed, as few servers are warming up.
@@ -103,11 +103,11 @@
     /// Whether this balancer has yet to make a first try of the server after operators have restored it.
     #[cfg(test)]
     pub(crate) fn has_first_try(&self) -> bool {
-        self.first_try_by.is_some()
+        self.first_try_due_at.is_some()
     }
 
     fn is_first_try_due(&self, now: Time) -> bool {
-        self.first_try_by.is_some_and(|by| now >= by)
+        self.first_try_due_at.is_some_and(|due_at| now >= due_at)
     }
 }
 
@@ -185,11 +185,11 @@
     /// Whether a budget applies to a server: it is warming up, no first try of it is due, and there are warmed-up
     /// servers to derive a budget from.
     fn is_budgeted(&self, now: Time, server: &ServerSlowStart, factor: f64, open_servers: usize) -> bool {
-        factor < 1.0 && self.warm_count(open_servers) > 0 && !server.is_first_try_due(now)
+        factor < 1.0 && self.warmed_up_count(open_servers) > 0 && !server.is_first_try_due(now)
     }
 
-    /// The work that a server may be sent in the overload window, in milliseconds: as many times the work per
-    /// warmed-up server in that window as the overload factor and the slow-start `factor` allow.
+    /// The work that a server may be sent in the overload window, in milliseconds: the work per warmed-up server in that
+    /// window, multiplied by the overload factor and the slow-start `factor`.
     fn allowed_in_window(&self, now: Time, factor: f64) -> f64 {
         let warm_sent = self.warm_sent_in_window.lower_bound(now, self.overload_window);
         self.overload_factor.max(1.0) * factor * warm_sent
@@ -223,12 +223,12 @@
             server.sent.add(now, self.sent_time_constant_ms, work);
             server.add_to_window(now, self.overload_window, work);
         } else {
-            let share = work / self.warm_count(open_servers).max(1) as f64;
+            let share = work / self.warmed_up_count(open_servers).max(1) as f64;
             self.warm_sent.add(now, self.sent_time_constant_ms, share);
             self.warm_sent_in_window.add(now, self.overload_window, share);
             server.sent_in_window = None;
         }
-        server.first_try_by = None;
+        server.first_try_due_at = None;
     }
 
     /// Adds the work per warmed-up server from a snapshot, in milliseconds.
@@ -251,9 +251,9 @@
     /// Decides at random whether and when this balancer makes a first try of a server that operators restored at `at`.
     pub(crate) fn schedule_first_try(&self, server: &mut ServerSlowStart, at: Time, rng: &mut fastrand::Rng) {
         let probability = FIRST_TRIES_PER_SERVER / f64::from(self.balancers.max(1));
-        let by = at + FIRST_TRY_PERIOD * rng.f64();
+        let due_at = at + FIRST_TRY_PERIOD * rng.f64();
         if rng.f64() < probability {
-            server.first_try_by = Some(by);
+            server.first_try_due_at = Some(due_at);
         }
     }
 
@@ -273,11 +273,11 @@
         let has_warm_up = self.initial_capacity < 1.0 && self.warm_up_time > Span::ZERO;
         let warmed_up_at = server.started_at(listed_start).map(|at| at + self.warm_up_time);
         self.warming.set(slot, warmed_up_at.filter(|at| is_open && has_warm_up && *at > self.checked_at));
-        self.first_tries.set(slot, server.first_try_by.filter(|_| is_open));
+        self.first_tries.set(slot, server.first_try_due_at.filter(|_| is_open));
     }
 
     /// Removes the servers whose warm-up has ended from the index of those that are warming up.
-    pub(crate) fn check(&mut self, now: Time) {
+    pub(crate) fn remove_warmed_up(&mut self, now: Time) {
         self.checked_at = now;
         for slot in self.warming.due(now).collect::<Vec<_>>() {
             self.warming.set(slot, None);
@@ -285,7 +285,7 @@
     }
 
     /// How many of the `open_servers` had warmed up at the last check.
-    pub(crate) fn warm_count(&self, open_servers: usize) -> usize {
+    pub(crate) fn warmed_up_count(&self, open_servers: usize) -> usize {
         open_servers - self.warming.len()
     }
 
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -58,7 +58,7 @@
             && balancer.fleet.slow_start_factor(balancer.fleet.slow_start.checked_at(), server(slot)) >= 1.0
     };
     assert_eq!(
-        balancer.fleet.slow_start.warm_count(balancer.fleet.endpoints.open().len()),
+        balancer.fleet.slow_start.warmed_up_count(balancer.fleet.endpoints.open().len()),
         slots_where(&warmed_up).len(),
         "warmed up"
     );
