--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -91,8 +91,12 @@
             return server.limit.is_pause_over(now)
                 && budget.has_sparse_budget(now, slow_start, factor, open_servers, request.mean_work);
         }
-        server.limit.has_capacity(now, self.admission_level.value(), factor, server.connections.at_work())
-            && budget.has_budget(now, slow_start, factor, open_servers, request.work)
+        server.limit.has_capacity(
+            now,
+            self.admission_level.value(),
+            factor,
+            server.connections.fully_received(),
+        ) && budget.has_budget(now, slow_start, factor, open_servers, request.work)
     }
 
     /// A server that operators have restored, whose first try is due and may be made with this request.
@@ -130,11 +134,12 @@
 
     /// Records that a server is sent an attempt with this work. Returns whether it is a probation request.
     pub(crate) fn record_send(&mut self, now: Time, slot: usize, work: f64, is_uploading: bool) -> bool {
-        let takes_idle = self.server(slot).connections.has_idle(now, self.settings.keepalive);
+        let reuses_connection =
+            self.server(slot).connections.has_reusable_connection(now, self.settings.keepalive);
         let factor = self.slow_start_factor(now, self.server(slot));
         let open_servers = self.endpoints.open().len();
         let server = self.endpoints.server_mut(slot);
-        server.connections.record_send(is_uploading, takes_idle);
+        server.connections.record_send(is_uploading, reuses_connection);
         server.report.record_send();
         self.slow_start.record_send(now, &mut server.slow_start, factor, open_servers, work);
         self.slow_start.index(slot, &server.slow_start, server.endpoint.started, server.is_open);
@@ -209,7 +214,7 @@
         let server = self.endpoints.server_mut(attempt.server);
         let idle_latency = self.latencies.idle(attempt.class, &server.latency);
         let is_responsive = now.since(server.health.last_response_at()) < latency_objective;
-        let has_other_requests = server.connections.at_work() > 0;
+        let has_other_requests = server.connections.fully_received() > 0;
         if outcome == Outcome::ConnectFailed && is_sparse && has_other_requests && is_responsive {
             // It responds on other connections, so it is full rather than down or unreachable.
             server.limit.pause(now, latency_objective);
@@ -231,7 +236,7 @@
                 smoothed_latency: server.latency.smoothed(),
                 idle_latency,
                 usual_latency: self.latencies.usual(attempt.class),
-                at_work: server.connections.at_work(),
+                at_work: server.connections.fully_received(),
             };
             server.limit.record(&sample, concurrency::min_limit(&self.settings));
         }
@@ -352,7 +357,7 @@
     /// Updates the median latency over the serving servers.
     pub(crate) fn update_median_latency(&mut self) {
         let endpoints = &self.endpoints;
-        self.latencies.update_median(|slot| endpoints.server(slot).judged_latency());
+        self.latencies.update_median(|slot| endpoints.server(slot).latency_for_median());
     }
 }
 
