--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,25 +1,26 @@
-//! What the tests share: an checker that holds a balancer to the four rules, and a small rig around one.
+//! Shared by the integration tests: a checker of the balancer's invariants, and a rig that drives a balancer on a
+//! simulated clock.
 #![allow(dead_code, missing_docs)]
 
 use balancer::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Time past the client's deadline in which a final answer still counts.
-const GRACE: Span = Span(20_000);
+/// How long after the client's deadline a final answer is still in time.
+const FINAL_ANSWER_GRACE: Span = Span(20_000);
 
 #[derive(Debug, Clone)]
 struct ObservedAttempt {
-    at: Time,
+    sent_at: Time,
     zone: ZoneId,
     cell: CellId,
-    ended: Option<Outcome>,
+    outcome: Option<Outcome>,
 }
 
 #[derive(Debug)]
 struct ObservedRequest {
     class: usize,
-    /// In requests of the usual size, by the hint.
-    work: f64,
+    /// Cost relative to a request of 40 ms, by its cost hint; 1 without a hint.
+    relative_cost: f64,
     deadline: Time,
     attempts: Vec<ObservedAttempt>,
     is_finished: bool,
@@ -28,17 +29,20 @@
     is_uploading: bool,
 }
 
-/// Watches events and actions and records every violation of an invariant, without knowing how decisions are made.
+/// Watches events and actions and records every violation of an invariant, independently of how the balancer decides.
 pub struct InvariantChecker {
     settings: Settings,
     requests: BTreeMap<RequestId, ObservedRequest>,
     servers: BTreeMap<ServerId, Endpoint>,
+    /// Since when a server has been draining, removed or missing from a complete endpoint list.
     draining_since: BTreeMap<ServerId, Time>,
     cordoned_since: BTreeMap<ServerId, Time>,
-    restored_at: BTreeMap<ServerId, Time>,
+    uncordoned_at: BTreeMap<ServerId, Time>,
+    /// Sends within the overload window, oldest first: when, to which server, and the relative cost.
     sends: VecDeque<(Time, ServerId, f64)>,
-    warm: BTreeSet<ServerId>,
-    warm_unchanged_since: Time,
+    /// Serving servers that have finished their warm-up.
+    warmed_up: BTreeSet<ServerId>,
+    warmed_up_unchanged_since: Time,
     pub violations: Vec<String>,
 }
 
@@ -50,10 +54,10 @@
             servers: BTreeMap::new(),
             draining_since: BTreeMap::new(),
             cordoned_since: BTreeMap::new(),
-            restored_at: BTreeMap::new(),
+            uncordoned_at: BTreeMap::new(),
             sends: VecDeque::new(),
-            warm: BTreeSet::new(),
-            warm_unchanged_since: Time(0),
+            warmed_up: BTreeSet::new(),
+            warmed_up_unchanged_since: Time(0),
             violations: Vec::new(),
         }
     }
@@ -65,9 +69,9 @@
     pub fn event(&mut self, now: Time, event: &Event) {
         match event {
             Event::Request(r) => {
-                let seen = ObservedRequest {
+                let observed = ObservedRequest {
                     class: r.class.0,
-                    work: r.cost_hint.map_or(1.0, |h| h.as_ms() / 40.0),
+                    relative_cost: r.cost_hint.map_or(1.0, |hint| hint.as_ms() / 40.0),
                     deadline: now + r.time_left,
                     attempts: Vec::new(),
                     is_finished: false,
@@ -75,56 +79,60 @@
                     is_body_consumed: false,
                     is_uploading: r.uploading,
                 };
-                self.requests.entry(r.id).or_insert(seen);
+                self.requests.entry(r.id).or_insert(observed);
             }
             Event::Outcome { request, attempt, outcome, request_finished, .. } => {
-                if let Some(seen) = self.requests.get_mut(request) {
-                    if let Some(attempt) = seen.attempts.get_mut(attempt.0 as usize) {
-                        attempt.ended.get_or_insert(*outcome);
+                if let Some(observed) = self.requests.get_mut(request) {
+                    if let Some(attempt) = observed.attempts.get_mut(attempt.0 as usize) {
+                        attempt.outcome.get_or_insert(*outcome);
                     }
-                    seen.is_finished |= *request_finished;
+                    observed.is_finished |= *request_finished;
                 }
             }
             Event::FirstByte { request, .. } => {
-                if let Some(seen) = self.requests.get_mut(request) {
-                    seen.has_response_started = true;
+                if let Some(observed) = self.requests.get_mut(request) {
+                    observed.has_response_started = true;
                 }
             }
             Event::BodyComplete { request, time_left } => {
-                if let Some(seen) = self.requests.get_mut(request) {
-                    (seen.is_uploading, seen.deadline) = (false, now + *time_left);
+                if let Some(observed) = self.requests.get_mut(request) {
+                    (observed.is_uploading, observed.deadline) = (false, now + *time_left);
                 }
             }
             Event::BodyConsumed { request } => {
-                if let Some(seen) = self.requests.get_mut(request) {
-                    seen.is_body_consumed = true;
+                if let Some(observed) = self.requests.get_mut(request) {
+                    observed.is_body_consumed = true;
                 }
             }
             Event::ClientDisconnected { request } => {
-                if let Some(seen) = self.requests.get_mut(request) {
-                    seen.is_finished = true;
+                if let Some(observed) = self.requests.get_mut(request) {
+                    observed.is_finished = true;
                 }
             }
             Event::Endpoints(update) => {
-                let (lines, whole) = match update {
-                    EndpointUpdate::Partial(lines) | EndpointUpdate::Changes(lines) => (lines, false),
-                    EndpointUpdate::Complete(lines) | EndpointUpdate::Saved(lines) => (lines, true),
+                let (endpoints, is_complete) = match update {
+                    EndpointUpdate::Partial(endpoints) | EndpointUpdate::Changes(endpoints) => {
+                        (endpoints, false)
+                    }
+                    EndpointUpdate::Complete(endpoints) | EndpointUpdate::Saved(endpoints) => {
+                        (endpoints, true)
+                    }
                     EndpointUpdate::Failed | EndpointUpdate::Unusable => return,
                 };
-                let named: BTreeSet<ServerId> = lines.iter().map(|l| l.server).collect();
-                if whole {
-                    for server in self.servers.keys().filter(|s| !named.contains(s)) {
+                let listed: BTreeSet<ServerId> = endpoints.iter().map(|e| e.server).collect();
+                if is_complete {
+                    for server in self.servers.keys().filter(|s| !listed.contains(s)) {
                         self.draining_since.entry(*server).or_insert(now);
                     }
                 }
-                for line in lines {
-                    let before = self.servers.insert(line.server, line.clone());
-                    if before.is_some_and(|b| b.started != line.started) {
-                        // A new process: what the previous one was sent is no load on it.
-                        self.sends.retain(|(_, s, _)| *s != line.server);
+                for endpoint in endpoints {
+                    let previous = self.servers.insert(endpoint.server, endpoint.clone());
+                    if previous.is_some_and(|p| p.started != endpoint.started) {
+                        // A new process: sends to the previous process are no load on it.
+                        self.sends.retain(|(_, s, _)| *s != endpoint.server);
                     }
                 }
-                for server in named {
+                for server in listed {
                     if self.servers[&server].status == Status::Serving {
                         self.draining_since.remove(&server);
                     } else {
@@ -136,98 +144,110 @@
                 self.cordoned_since.entry(*server).or_insert(now);
             }
             Event::Uncordon { server, at } if self.cordoned_since.remove(server).is_some() => {
-                // What the process before the cordon was sent is no load on the restored one.
+                // Sends to the process before the cordon are no load on the one after it.
                 self.sends.retain(|(_, s, _)| s != server);
-                self.restored_at.insert(*server, *at);
+                self.uncordoned_at.insert(*server, *at);
             }
             _ => {}
         }
     }
 
-    /// The zone or cell that a request that may have been executed must stay in; `None` if it may not be sent at all.
-    fn retry_scope(&self, seen: &ObservedRequest, now: Time) -> Option<(Option<ZoneId>, Option<CellId>)> {
-        let ran = seen.attempts.iter().find(|t| t.ended.is_none_or(|o| !o.is_not_executed()));
-        let Some(ran) = ran else { return Some((None, None)) };
-        match self.settings.classes[seen.class].idempotency {
+    /// The zone or cell in which a request that may have been executed must stay; `None` if it must not be sent
+    /// again.
+    fn retry_scope(&self, observed: &ObservedRequest, now: Time) -> Option<(Option<ZoneId>, Option<CellId>)> {
+        let possibly_executed =
+            observed.attempts.iter().find(|a| a.outcome.is_none_or(|o| !o.is_not_executed()));
+        let Some(attempt) = possibly_executed else { return Some((None, None)) };
+        match self.settings.classes[observed.class].idempotency {
             Idempotency::Idempotent => Some((None, None)),
             Idempotency::AtMostOnce => None,
-            Idempotency::Deduplicated { window, .. } if now.since(ran.at) > window => None,
+            Idempotency::Deduplicated { window, .. } if now.since(attempt.sent_at) > window => None,
             Idempotency::Deduplicated { scope: DeduplicationScope::All, .. } => Some((None, None)),
-            Idempotency::Deduplicated { scope: DeduplicationScope::Zone, .. } => Some((Some(ran.zone), None)),
-            Idempotency::Deduplicated { scope: DeduplicationScope::Cell, .. } => Some((None, Some(ran.cell))),
+            Idempotency::Deduplicated { scope: DeduplicationScope::Zone, .. } => {
+                Some((Some(attempt.zone), None))
+            }
+            Idempotency::Deduplicated { scope: DeduplicationScope::Cell, .. } => {
+                Some((None, Some(attempt.cell)))
+            }
         }
     }
 
-    fn may_reject(&self, seen: &ObservedRequest) -> bool {
-        let ran = seen.attempts.iter().any(|t| t.ended.is_none_or(|o| !o.is_not_executed()));
-        match self.settings.classes[seen.class].idempotency {
+    /// Whether a client that retries the request after a rejection causes no second execution.
+    fn may_reject(&self, observed: &ObservedRequest) -> bool {
+        let possibly_executed =
+            observed.attempts.iter().any(|a| a.outcome.is_none_or(|o| !o.is_not_executed()));
+        match self.settings.classes[observed.class].idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::AtMostOnce => !ran,
-            Idempotency::Deduplicated { scope, .. } => !ran || scope == DeduplicationScope::All,
+            Idempotency::AtMostOnce => !possibly_executed,
+            Idempotency::Deduplicated { scope, .. } => !possibly_executed || scope == DeduplicationScope::All,
         }
     }
 
     pub fn action(&mut self, now: Time, action: &Action) {
         match action {
             Action::Send { request, server, timeout_at } => {
-                let Some(line) = self.servers.get(server).cloned() else {
-                    return self.violate(now, format!("sent to {server:?}, which no list names"));
+                let Some(endpoint) = self.servers.get(server).cloned() else {
+                    return self
+                        .violate(now, format!("sent to {server:?}, which no endpoint list has named"));
                 };
-                let Some(seen) = self.requests.get(request) else {
+                let Some(observed) = self.requests.get(request) else {
                     return self.violate(now, format!("sent {request:?}, which was never submitted"));
                 };
-                let work = seen.work;
-                let out = seen.attempts.iter().any(|t| t.ended.is_none());
-                let mut wrong = Vec::new();
-                if seen.is_finished {
-                    wrong.push("sent after its final answer");
+                let relative_cost = observed.relative_cost;
+                let has_attempt_in_flight = observed.attempts.iter().any(|a| a.outcome.is_none());
+                let mut violations = Vec::new();
+                if observed.is_finished {
+                    violations.push("sent after its final answer");
                 }
-                if seen.has_response_started {
-                    wrong.push("sent though its response has started");
+                if observed.has_response_started {
+                    violations.push("sent after its response started");
                 }
-                if seen.attempts.len() >= self.settings.max_attempts as usize {
-                    wrong.push("sent beyond the attempts allowed");
+                if observed.attempts.len() >= self.settings.max_attempts as usize {
+                    violations.push("sent more often than the maximum number of attempts");
                 }
-                if out && !self.settings.hedging {
-                    wrong.push("two attempts at once");
+                if has_attempt_in_flight && !self.settings.hedging {
+                    violations.push("two attempts at once");
                 }
-                if seen.is_body_consumed {
-                    wrong.push("sent though its body is consumed");
+                if observed.is_body_consumed {
+                    violations.push("sent after its body was consumed");
                 }
-                if !seen.is_uploading && (now > seen.deadline || *timeout_at > seen.deadline) {
-                    wrong.push("sent past its deadline");
+                if !observed.is_uploading && (now > observed.deadline || *timeout_at > observed.deadline) {
+                    violations.push("sent after its deadline, or with a later time-out");
                 }
-                match self.retry_scope(seen, now) {
-                    None => wrong.push("may have been executed and must not be sent again"),
+                match self.retry_scope(observed, now) {
+                    None => violations.push("may have been executed and must not be sent again"),
                     Some((zone, cell)) => {
-                        if zone.is_some_and(|z| z != line.zone) || cell.is_some_and(|c| c != line.cell) {
-                            wrong.push("retried outside the deduplication scope");
+                        if zone.is_some_and(|z| z != endpoint.zone)
+                            || cell.is_some_and(|c| c != endpoint.cell)
+                        {
+                            violations.push("retried outside the deduplication scope");
                         }
                     }
                 }
                 if self.draining_since.get(server).is_some_and(|at| now > *at + self.settings.drain_grace) {
-                    wrong.push("sent to a draining or gone server");
+                    violations.push("sent to a draining or gone server");
                 }
                 if self.cordoned_since.get(server).is_some_and(|at| now > *at) {
-                    wrong.push("sent to a cordoned server");
+                    violations.push("sent to a cordoned server");
                 }
-                for text in wrong {
+                for text in violations {
                     self.violate(now, format!("{request:?}: {text}"));
                 }
-                let attempt = ObservedAttempt { at: now, zone: line.zone, cell: line.cell, ended: None };
+                let attempt =
+                    ObservedAttempt { sent_at: now, zone: endpoint.zone, cell: endpoint.cell, outcome: None };
                 self.requests.get_mut(request).expect("looked up above").attempts.push(attempt);
-                self.sends.push_back((now, *server, work));
+                self.sends.push_back((now, *server, relative_cost));
                 self.check_slow_start(now, *server);
             }
             Action::Reject { request, .. } => {
-                if self.requests.get(request).is_some_and(|seen| !self.may_reject(seen)) {
+                if self.requests.get(request).is_some_and(|observed| !self.may_reject(observed)) {
                     self.violate(now, format!("{request:?}: rejected though it may have been executed"));
                 }
                 self.finish(now, *request);
             }
             Action::Fail { request } => self.finish(now, *request),
             Action::HealthCheck { server } if self.cordoned_since.get(server).is_some_and(|at| now > *at) => {
-                self.violate(now, format!("checked {server:?}, which is cordoned"));
+                self.violate(now, format!("health check sent to {server:?}, which is cordoned"));
             }
             _ => {}
         }
@@ -236,10 +256,11 @@
     fn finish(&mut self, now: Time, request: RequestId) {
         let text = match self.requests.get_mut(&request) {
             None => Some("answered, but never submitted"),
-            Some(seen) if seen.is_finished => Some("answered twice"),
-            Some(seen) => {
-                seen.is_finished = true;
-                (!seen.is_uploading && now > seen.deadline + GRACE).then_some("answered too late")
+            Some(observed) if observed.is_finished => Some("answered twice"),
+            Some(observed) => {
+                observed.is_finished = true;
+                (!observed.is_uploading && now > observed.deadline + FINAL_ANSWER_GRACE)
+                    .then_some("answered too late")
             }
         };
         if let Some(text) = text {
@@ -247,69 +268,77 @@
         }
     }
 
-    /// Checks what this balancer sends a server that is warming up against what it sends the warmed-up ones: its
-    /// share, times the overload factor, and a few requests that chance may add.
+    /// Checks what this balancer sends a server that is warming up against the average that it sends a warmed-up
+    /// server: at most the slow-start factor times that average times the overload factor, and 5 requests for random
+    /// variation.
     fn check_slow_start(&mut self, now: Time, server: ServerId) {
         let window = self.settings.overload_window;
         while self.sends.front().is_some_and(|(at, ..)| *at + window < now) {
             self.sends.pop_front();
         }
-        let slow_start_factor = |line: &Endpoint| {
-            line.started.max(self.restored_at.get(&line.server).copied()).map_or(1.0, |s| {
-                let grown = (now.since(s).as_ms() / self.settings.warm_up_time.as_ms()).min(1.0);
-                self.settings.initial_capacity + (1.0 - self.settings.initial_capacity) * grown
+        let slow_start_factor = |endpoint: &Endpoint| {
+            endpoint.started.max(self.uncordoned_at.get(&endpoint.server).copied()).map_or(1.0, |start| {
+                let progress = (now.since(start).as_ms() / self.settings.warm_up_time.as_ms()).min(1.0);
+                self.settings.initial_capacity + (1.0 - self.settings.initial_capacity) * progress
             })
         };
-        let own = slow_start_factor(&self.servers[&server]);
-        let warm: BTreeSet<ServerId> = self
+        let server_factor = slow_start_factor(&self.servers[&server]);
+        let warmed_up: BTreeSet<ServerId> = self
             .servers
             .values()
-            .filter(|l| l.status == Status::Serving && slow_start_factor(l) >= 1.0)
-            .map(|l| l.server)
+            .filter(|e| e.status == Status::Serving && slow_start_factor(e) >= 1.0)
+            .map(|e| e.server)
             .collect();
-        if warm != self.warm {
-            // The fair share has changed: a whole window must pass before sends can be compared with it.
-            self.warm = warm.clone();
-            self.warm_unchanged_since = now;
+        if warmed_up != self.warmed_up {
+            // The average has changed: sends are comparable with it only after a whole window.
+            self.warmed_up = warmed_up.clone();
+            self.warmed_up_unchanged_since = now;
         }
-        let settled = now.since(self.warm_unchanged_since) >= window || self.warm_unchanged_since == Time(0);
-        if own >= 1.0 || warm.is_empty() || !settled {
+        let is_comparable =
+            now.since(self.warmed_up_unchanged_since) >= window || self.warmed_up_unchanged_since == Time(0);
+        if server_factor >= 1.0 || warmed_up.is_empty() || !is_comparable {
             return;
         }
-        let to_warm = self.sends.iter().filter(|(_, s, _)| warm.contains(s)).map(|s| s.2).sum::<f64>();
-        let to_cold = self.sends.iter().filter(|(_, s, _)| *s == server).map(|s| s.2).sum::<f64>();
-        let fair = to_warm / warm.len() as f64;
-        if to_cold > 5.0 + self.settings.overload_factor * own * fair {
+        let sent_to_warmed_up =
+            self.sends.iter().filter(|(_, s, _)| warmed_up.contains(s)).map(|s| s.2).sum::<f64>();
+        let sent_to_server = self.sends.iter().filter(|(_, s, _)| *s == server).map(|s| s.2).sum::<f64>();
+        let average = sent_to_warmed_up / warmed_up.len() as f64;
+        if sent_to_server > 5.0 + self.settings.overload_factor * server_factor * average {
             self.violate(
                 now,
-                format!("{server:?}: warming up, sent {to_cold} where a warmed-up one is sent {fair:.1}"),
+                format!("{server:?}: warming up, sent {sent_to_server}, a warmed-up server {average:.1}"),
             );
         }
     }
 
-    /// Requests whose final answer is overdue.
+    /// Number of requests whose final answer is overdue.
     pub fn overdue_answers(&self, now: Time) -> usize {
         self.requests
             .values()
             .filter(|r| {
-                !r.is_finished && !r.has_response_started && !r.is_uploading && now > r.deadline + GRACE
+                !r.is_finished
+                    && !r.has_response_started
+                    && !r.is_uploading
+                    && now > r.deadline + FINAL_ANSWER_GRACE
             })
             .count()
     }
 
+    /// Drops the finished requests that have no attempt in flight.
     pub fn forget_finished(&mut self) {
-        self.requests.retain(|_, r| !r.is_finished || r.attempts.iter().any(|t| t.ended.is_none()));
+        self.requests.retain(|_, r| !r.is_finished || r.attempts.iter().any(|a| a.outcome.is_none()));
     }
 }
 
-/// A balancer with an checker at its side and a clock to move.
+/// A balancer with an invariant checker and a simulated clock.
 pub struct Rig {
     pub balancer: Balancer,
     pub checker: InvariantChecker,
     pub now: Time,
+    /// The actions of the last event.
     pub actions: Vec<Action>,
     timers: BTreeSet<(Time, TimerId)>,
-    next: u64,
+    next_request_id: u64,
 }
 
 impl Rig {
@@ -322,7 +351,7 @@
             now: Time::from_ms(50_000.0),
             actions: Vec::new(),
             timers: BTreeSet::new(),
-            next: 0,
+            next_request_id: 0,
         };
         let mut actions = Vec::new();
         rig.balancer.start(rig.now, &mut actions);
@@ -340,7 +369,7 @@
         self.actions = actions;
     }
 
-    /// Notifies the balancer of an event; its actions are in `actions` afterwards.
+    /// Passes an event to the balancer and returns its actions, which are also in `actions` afterwards.
     pub fn notify(&mut self, event: Event) -> &[Action] {
         self.checker.event(self.now, &event);
         let mut actions = Vec::new();
@@ -349,7 +378,7 @@
         &self.actions
     }
 
-    /// Moves the clock on, firing timers as they come due; returns all actions on the way.
+    /// Advances the clock by `span`, fires the timers that become due, and returns the actions of all of them.
     pub fn wait(&mut self, span: Span) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
@@ -362,20 +391,20 @@
         all
     }
 
-    pub fn set_endpoints(&mut self, lines: Vec<Endpoint>) {
-        self.notify(Event::Endpoints(EndpointUpdate::Complete(lines)));
+    pub fn set_endpoints(&mut self, endpoints: Vec<Endpoint>) {
+        self.notify(Event::Endpoints(EndpointUpdate::Complete(endpoints)));
     }
 
-    /// A new request of a class; the server it was sent to, if it was.
+    /// Submits a new request of a class. Returns its id, and the server that it was sent to if it was sent at once.
     pub fn request(&mut self, class: usize) -> (RequestId, Option<ServerId>) {
-        let id = RequestId(self.next);
-        self.next += 1;
+        let id = RequestId(self.next_request_id);
+        self.next_request_id += 1;
         let left = self.checker.settings.classes[class].deadline;
         self.notify(Event::Request(Request::new(id, ClassId(class), left)));
         (id, self.sent_to(id))
     }
 
-    /// A request of class 0 that has `ms` to be sent and is then answered well; the server it was sent to.
+    /// Submits a request of class 0, waits `ms`, and then reports success if it has been sent. Returns its server.
     pub fn request_and_respond(&mut self, ms: f64) -> Option<ServerId> {
         let (id, sent) = self.request(0);
         let sent = sent.or(sent_in(&self.wait(Span::from_ms(ms)), id));
@@ -385,20 +414,22 @@
         sent
     }
 
-    /// How many classes there are, and how long clients of one wait.
+    /// Number of request classes.
     pub fn classes(&self) -> usize {
         self.checker.settings.classes.len()
     }
 
+    /// How long clients of a class wait for the final answer.
     pub fn deadline(&self, class: usize) -> Span {
         self.checker.settings.classes[class].deadline
     }
 
-    /// Where the last actions sent a request.
+    /// The server that the last event's actions send a request to.
     pub fn sent_to(&self, id: RequestId) -> Option<ServerId> {
         sent_in(&self.actions, id)
     }
 
+    /// Reports the outcome of an attempt after `ms`, without a load report.
     pub fn respond(&mut self, id: RequestId, attempt: u32, outcome: Outcome, ms: f64) -> &[Action] {
         self.respond_with(id, attempt, outcome, ms, None)
     }
@@ -427,7 +458,7 @@
     }
 }
 
-/// Where these actions send a request.
+/// The server that these actions send a request to.
 pub fn sent_in(actions: &[Action], id: RequestId) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { request, server, .. } if *request == id => Some(*server),
@@ -443,7 +474,7 @@
     actions.iter().any(|a| matches!(a, Action::Fail { request } if *request == id))
 }
 
-/// `n` warm servers, server `i` in zone `i % zones` and cell `i % cells`.
+/// `n` warmed-up servers, server `i` in zone `i % zones` and cell `i % cells`.
 pub fn fleet(n: u32, zones: u32, cells: u32) -> Vec<Endpoint> {
     (0..n)
         .map(|i| Endpoint {
