--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -1,18 +1,20 @@
-//! What a tick, a change of the list and a pick cost goes by what has happened, and not by the servers that are known.
+//! The cost of a tick, of an endpoint change and of a server selection depends on what has happened since, not on
+//! the number of known servers.
 //!
-//! Each cost is the least of many repetitions, so that what else the machine does hardly shows, and 32 times as many
-//! servers may cost 8 times as much: their records lie in slower memory. A walk over all of them costs 20 times or more.
+//! Each cost is the minimum of many repetitions, which leaves out most of what else the machine does. With 32
+//! times as many servers it may be 8 times as high, as their records lie in slower memory; a scan of all servers
+//! costs 20 times or more.
 mod common;
 use balancer::*;
 use common::*;
 use std::time::{Duration, Instant};
 
-const FEW: u32 = 1000;
-const MANY: u32 = 32_000;
-const MOST: u32 = 8;
+const SMALL_FLEET: u32 = 1000;
+const LARGE_FLEET: u32 = 32_000;
+const MAX_COST_RATIO: u32 = 8;
 const ZONES: u32 = 32;
 
-fn line(i: u32) -> Endpoint {
+fn endpoint(i: u32) -> Endpoint {
     Endpoint { zone: ZoneId(i % ZONES), cell: CellId(i / 4), ..Endpoint::serving(ServerId(i)) }
 }
 
@@ -20,41 +22,46 @@
     balancer: Balancer,
     servers: u32,
     now: Time,
-    next: u64,
-    out: Vec<Action>,
+    last_request_id: u64,
+    actions: Vec<Action>,
 }
 
 impl MeasuredFleet {
     fn new(servers: u32, class: Class) -> Self {
         let settings = Settings { balancers: 4, classes: vec![class], ..Settings::default() };
         let (balancer, now) = (Balancer::new(settings, 7).expect("usable settings"), Time::from_ms(1e6));
-        let mut fleet = MeasuredFleet { balancer, servers, now, next: 0, out: Vec::new() };
-        fleet.notify(Event::Endpoints(EndpointUpdate::Complete((0..servers).map(line).collect())));
+        let mut fleet = MeasuredFleet { balancer, servers, now, last_request_id: 0, actions: Vec::new() };
+        fleet.notify(Event::Endpoints(EndpointUpdate::Complete((0..servers).map(endpoint).collect())));
         fleet
     }
 
-    /// Has it take in an event a millisecond later; how long that took.
+    /// Passes an event to the balancer 1 ms after the last one; returns how long that took.
     fn notify(&mut self, event: Event) -> Duration {
         self.now = self.now + Span::from_ms(1.0);
-        self.out.clear();
-        let begun = Instant::now();
-        self.balancer.handle(self.now, event, &mut self.out);
-        begun.elapsed()
+        self.actions.clear();
+        let start = Instant::now();
+        self.balancer.handle(self.now, event, &mut self.actions);
+        start.elapsed()
     }
 
     fn request(&mut self) -> Duration {
-        self.next += 1;
-        self.notify(Event::Request(Request::new(RequestId(self.next), ClassId(0), Span::from_ms(5000.0))))
+        self.last_request_id += 1;
+        self.notify(Event::Request(Request::new(
+            RequestId(self.last_request_id),
+            ClassId(0),
+            Span::from_ms(5000.0),
+        )))
     }
 
     fn respond(&mut self, outcome: Outcome) -> Duration {
-        let (request, attempt, elapsed) = (RequestId(self.next), AttemptNo(0), Span::from_ms(10.0));
+        let (request, attempt, elapsed) =
+            (RequestId(self.last_request_id), AttemptNo(0), Span::from_ms(10.0));
         let request_finished = outcome == Outcome::Success;
         self.notify(Event::Outcome { request, attempt, outcome, elapsed, report: None, request_finished })
     }
 
     fn sent_to(&self) -> Option<ServerId> {
-        self.out.iter().find_map(|a| match a {
+        self.actions.iter().find_map(|a| match a {
             Action::Send { server, .. } => Some(*server),
             _ => None,
         })
@@ -66,28 +73,31 @@
     }
 }
 
-/// The least cost in a small fleet and in a large one, measured in turn.
+/// Compares the minimum costs in a small and a large fleet, which are measured alternately.
 fn compare(
-    what: &str,
+    operation: &str,
     class: Class,
     prepare: fn(&mut MeasuredFleet),
     cost: fn(&mut MeasuredFleet) -> Duration,
 ) {
-    let mut fleets = [FEW, MANY].map(|servers| MeasuredFleet::new(servers, class.clone()));
+    let mut fleets = [SMALL_FLEET, LARGE_FLEET].map(|servers| MeasuredFleet::new(servers, class.clone()));
     fleets.iter_mut().for_each(prepare);
-    let mut least = [Duration::MAX; 2];
+    let mut min_costs = [Duration::MAX; 2];
     for _ in 0..200 {
-        for (fleet, least) in fleets.iter_mut().zip(&mut least) {
-            *least = (*least).min(cost(fleet));
+        for (fleet, min_cost) in fleets.iter_mut().zip(&mut min_costs) {
+            *min_cost = (*min_cost).min(cost(fleet));
         }
     }
-    // Below this the clock and the call itself are most of it.
-    let [few, many] = least.map(|cost| cost.max(Duration::from_micros(1)));
-    assert!(many <= few * MOST, "{what}: {few:?} with {FEW} servers, {many:?} with {MANY}");
+    // Below 1 µs, the cost is mostly that of the clock and the call.
+    let [small, large] = min_costs.map(|cost| cost.max(Duration::from_micros(1)));
+    assert!(
+        large <= small * MAX_COST_RATIO,
+        "{operation}: {small:?} with {SMALL_FLEET} servers, {large:?} with {LARGE_FLEET}"
+    );
 }
 
-/// Half of the servers have answered.
-fn in_use(fleet: &mut MeasuredFleet) {
+/// Serves as many requests as there are servers, after which half of the servers have answered.
+fn serve_requests(fleet: &mut MeasuredFleet) {
     for _ in 0..fleet.servers {
         fleet.request();
         fleet.respond(Outcome::Success);
@@ -97,52 +107,53 @@
 
 #[test]
 fn an_idle_tick_costs_the_same_in_a_large_fleet() {
-    compare("an idle tick", class(Idempotency::Idempotent), in_use, MeasuredFleet::tick);
+    compare("an idle tick", class(Idempotency::Idempotent), serve_requests, MeasuredFleet::tick);
 }
 
 #[test]
 fn a_change_of_one_server_costs_the_same_in_a_large_fleet() {
-    compare("a change", class(Idempotency::Idempotent), in_use, |fleet| {
-        let news = |status| Event::Endpoints(EndpointUpdate::Changes(vec![Endpoint { status, ..line(77) }]));
-        fleet.notify(news(Status::Draining))
-            + fleet.notify(news(Status::Gone))
-            + fleet.notify(news(Status::Serving))
+    compare("an endpoint change", class(Idempotency::Idempotent), serve_requests, |fleet| {
+        let change =
+            |status| Event::Endpoints(EndpointUpdate::Changes(vec![Endpoint { status, ..endpoint(77) }]));
+        fleet.notify(change(Status::Draining))
+            + fleet.notify(change(Status::Gone))
+            + fleet.notify(change(Status::Serving))
     });
 }
 
 #[test]
 fn a_cordon_costs_the_same_in_a_large_fleet() {
-    compare("a cordon", class(Idempotency::Idempotent), in_use, |fleet| {
+    compare("a cordon", class(Idempotency::Idempotent), serve_requests, |fleet| {
         let (server, at) = (ServerId(78), fleet.now);
         fleet.notify(Event::Cordon { server }) + fleet.notify(Event::Uncordon { server, at })
     });
 }
 
 #[test]
-fn a_request_and_its_answer_cost_the_same_in_a_large_fleet() {
-    compare("a request", class(Idempotency::Idempotent), in_use, |fleet| {
-        let pick = fleet.request();
-        pick + fleet.respond(Outcome::Success) + fleet.tick()
+fn a_request_and_its_response_cost_the_same_in_a_large_fleet() {
+    compare("a request", class(Idempotency::Idempotent), serve_requests, |fleet| {
+        let request_cost = fleet.request();
+        request_cost + fleet.respond(Outcome::Success) + fleet.tick()
     });
 }
 
 #[test]
 fn an_ejection_costs_the_same_in_a_large_fleet() {
-    compare("a suspicion", class(Idempotency::Idempotent), in_use, |fleet| {
-        // Where all fails, a failure is no evidence against one server.
+    compare("an ejection", class(Idempotency::Idempotent), serve_requests, |fleet| {
+        // While all attempts fail, a failure is no evidence against one server.
         for _ in 0..60 {
             fleet.request();
             fleet.respond(Outcome::Success);
         }
         fleet.request();
-        let server = fleet.sent_to().expect("there is room");
+        let server = fleet.sent_to().expect("a server must accept the request");
         fleet.respond(Outcome::Success);
-        let (mut cost, mut suspect) = (Duration::ZERO, false);
+        let (mut cost, mut is_ejected) = (Duration::ZERO, false);
         for _ in 0..4 {
             cost += fleet.notify(Event::ResponseAborted { server });
-            suspect |= fleet.out.iter().any(|a| matches!(a, Action::Log { .. }));
+            is_ejected |= fleet.actions.iter().any(|a| matches!(a, Action::Log { .. }));
         }
-        assert!(suspect, "it was not ejected");
+        assert!(is_ejected, "the server was not ejected");
         let at = fleet.now;
         fleet.notify(Event::Cordon { server });
         fleet.notify(Event::Uncordon { server, at });
@@ -150,39 +161,41 @@
     });
 }
 
-/// Of servers that are all full, a pick looks at some, and not at all, before the request waits.
+/// When all servers are at their limits, a selection looks at some of them, not at every one, before the request
+/// is queued.
 #[test]
 fn a_request_that_finds_all_servers_full_costs_the_same_in_a_large_fleet() {
-    let fill = |fleet: &mut MeasuredFleet| {
-        // Two attempts fill a server whose limit has not grown.
+    let fill_all_servers = |fleet: &mut MeasuredFleet| {
+        // A server whose concurrency limit has not grown reaches it with two attempts.
         for _ in 0..3 * fleet.servers {
             fleet.request();
             fleet.now = fleet.now - Span::from_ms(1.0);
         }
-        assert!(fleet.sent_to().is_none(), "there is still room");
+        assert!(fleet.sent_to().is_none(), "a server is still below its limit");
     };
-    let long = Span::from_ms(5000.0);
-    let class = Class { latency_objective: long, deadline: long, ..class(Idempotency::Idempotent) };
-    compare("a request with all full", class, fill, MeasuredFleet::request);
+    let timeout = Span::from_ms(5000.0);
+    let class = Class { latency_objective: timeout, deadline: timeout, ..class(Idempotency::Idempotent) };
+    compare("a request with all servers full", class, fill_all_servers, MeasuredFleet::request);
 }
 
-/// A retry that only its cell may be sent finds the cell's servers among all others, at the same cost.
+/// A retry that must stay in its cell finds the cell's servers among all others at the same cost.
 #[test]
 fn a_retry_finds_its_cell_in_a_large_fleet_at_the_same_cost() {
     let class = class(deduplicated(DeduplicationScope::Cell, 10_000.0));
-    compare("a repeat in its cell", class, in_use, |fleet| {
-        // Further attempts are earned by requests.
+    compare("a retry in its cell", class, serve_requests, |fleet| {
+        // Each request adds to the retry budget.
         for _ in 0..10 {
             fleet.request();
             fleet.respond(Outcome::Success);
         }
         fleet.request();
-        let first = fleet.sent_to().expect("there is room");
+        let first = fleet.sent_to().expect("a server must accept the request");
         let cost = fleet.respond(Outcome::ServerError);
-        let second = fleet.sent_to().expect("its cell has room");
-        assert_eq!(second.0 / 4, first.0 / 4, "it left its cell");
+        let second = fleet.sent_to().expect("a server of its cell must accept the retry");
+        assert_eq!(second.0 / 4, first.0 / 4, "the retry left its cell");
         assert_ne!(second, first);
-        let (request, attempt, elapsed) = (RequestId(fleet.next), AttemptNo(1), Span::from_ms(10.0));
+        let (request, attempt, elapsed) =
+            (RequestId(fleet.last_request_id), AttemptNo(1), Span::from_ms(10.0));
         let outcome = Outcome::Success;
         fleet.notify(Event::Outcome {
             request,
