--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Guards against decisions that absurd reports or a jumping clock would turn.
+//! Implausible load reports and clock jumps must neither stop traffic nor starve a server.
 mod common;
 use balancer::*;
 use common::*;
@@ -11,18 +11,19 @@
     }
 }
 
-/// Requests sent to each of four servers, the first of which reports what is given.
-fn share(report: Vec<f64>) -> [u32; 4] {
+/// Serves 200 requests with four servers, of which the first one answers with `report`; returns how many each was
+/// sent.
+fn sends_per_server(report: Vec<f64>) -> [u32; 4] {
     let mut rig = Rig::new(settings(), 3);
     rig.set_endpoints(fleet(4, 1, 1));
     let mut sent = [0; 4];
     for _ in 0..200 {
         let (id, server) = rig.request(0);
-        let server = server.expect("an idle fleet takes it");
+        let server = server.expect("an idle fleet accepts a request");
         sent[server.0 as usize] += 1;
         rig.wait(Span::from_ms(20.0));
-        let said = if server.0 == 0 { report.clone() } else { vec![0.0] };
-        rig.respond_with(id, 0, Outcome::Success, 20.0, Some(said));
+        let reported = if server.0 == 0 { report.clone() } else { vec![0.0] };
+        rig.respond_with(id, 0, Outcome::Success, 20.0, Some(reported));
         rig.wait(Span::from_ms(10.0));
     }
     rig.assert_invariants();
@@ -31,21 +32,21 @@
 
 #[test]
 fn implausible_reports_neither_stop_nor_starve_anything() {
-    for said in [vec![], vec![f64::NAN], vec![f64::INFINITY], vec![0.0], vec![-1e300], vec![1e300, 1.0]] {
-        let sent = share(said.clone());
-        assert!(sent[1..].iter().all(|n| *n > 20), "{said:?}: {sent:?}");
+    for report in [vec![], vec![f64::NAN], vec![f64::INFINITY], vec![0.0], vec![-1e300], vec![1e300, 1.0]] {
+        let sent = sends_per_server(report.clone());
+        assert!(sent[1..].iter().all(|n| *n > 20), "{report:?}: {sent:?}");
     }
-    let sent = share(vec![f64::NAN]);
-    assert!(sent[0] > 0, "a report that is no number is no report: {sent:?}");
+    let sent = sends_per_server(vec![f64::NAN]);
+    assert!(sent[0] > 0, "a report of NaN must be ignored: {sent:?}");
 }
 
 #[test]
 fn a_clock_that_jumps_an_hour_leaves_the_fleet_in_use_and_no_request_unanswered() {
     let mut rig = Rig::new(settings(), 3);
     rig.set_endpoints(fleet(4, 1, 1));
-    let open: Vec<_> = (0..6).map(|_| rig.request(0).0).collect();
+    let in_flight: Vec<_> = (0..6).map(|_| rig.request(0).0).collect();
     rig.now = rig.now + Span::from_ms(3_600_000.0);
-    for id in open {
+    for id in in_flight {
         rig.respond(id, 0, Outcome::TimedOut, 800.0);
     }
     rig.wait(Span::from_ms(1000.0));
@@ -62,8 +63,8 @@
     assert_eq!(rig.checker.overdue_answers(rig.now), 0);
 }
 
-/// The end of an attempt is reported by its request's id, so an id whose attempt is still in flight cannot be used again:
-/// the first attempt would count as in flight for ever.
+/// An outcome names its attempt by the request's id, so an id cannot be used again while an attempt of it is in
+/// flight: the first attempt would be counted as in flight forever.
 #[test]
 fn a_request_id_used_again_while_its_attempt_is_in_flight_is_rejected_and_leaks_no_count() {
     let mut rig = Rig::new(settings(), 3);
@@ -72,14 +73,14 @@
     let (id, sent) = rig.request(0);
     assert_eq!(sent, Some(ServerId(0)));
     rig.notify(Event::ClientDisconnected { request: id });
-    let again = Request::new(id, ClassId(0), rig.deadline(0));
-    let actions = rig.notify(Event::Request(again.clone())).to_vec();
+    let duplicate = Request::new(id, ClassId(0), rig.deadline(0));
+    let actions = rig.notify(Event::Request(duplicate.clone())).to_vec();
     assert!(rejected(&actions, id), "{actions:?}");
     assert_eq!(in_flight(&rig), 1);
     rig.respond(id, 0, Outcome::Success, 20.0);
-    assert_eq!(in_flight(&rig), 0, "a late end of the first attempt is its own");
-    rig.notify(Event::Request(again));
-    assert_eq!(rig.sent_to(id), Some(ServerId(0)), "the id is free again");
+    assert_eq!(in_flight(&rig), 0, "the late outcome must end the first attempt");
+    rig.notify(Event::Request(duplicate));
+    assert_eq!(rig.sent_to(id), Some(ServerId(0)), "the id can be used again");
     rig.respond(id, 0, Outcome::Success, 20.0);
     assert_eq!(in_flight(&rig), 0);
 }
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -1,4 +1,5 @@
-//! Guards rule two: an effect must not happen twice, and a rejection must not be told of what may have run.
+//! A request must not take effect twice. A rejection tells the client that a retry is harmless, so a request that may
+//! have been executed is rejected only if another execution has no further effect.
 mod common;
 use balancer::*;
 use common::*;
@@ -13,53 +14,55 @@
     Outcome::NotSent,
 ];
 
-/// The whole table: effect x outcome of the first attempt x group x inside or past the window.
+/// Every combination of idempotency, deduplication scope, outcome of the first attempt, time within or past the
+/// deduplication window, and hedging on or off.
 #[test]
 fn what_may_follow_a_first_attempt() {
-    let effects = [
+    let idempotency_values = [
         Idempotency::Idempotent,
         Idempotency::AtMostOnce,
         deduplicated(DeduplicationScope::All, 100.0),
         deduplicated(DeduplicationScope::Zone, 100.0),
         deduplicated(DeduplicationScope::Cell, 100.0),
     ];
-    for copies in [false, true] {
-        for idempotency in effects {
+    for hedging_enabled in [false, true] {
+        for idempotency in idempotency_values {
             for outcome in OUTCOMES {
                 for ms in [5.0, 120.0] {
                     let settings = Settings {
                         classes: vec![class(idempotency)],
-                        hedging: copies,
+                        hedging: hedging_enabled,
                         ..Settings::default()
                     };
                     let mut rig = Rig::new(settings, 3);
                     rig.set_endpoints(fleet(12, 3, 4));
                     let (id, first) = rig.request(0);
-                    let first = first.expect("an idle fleet takes a request").0;
+                    let first = first.expect("an idle fleet accepts a request").0;
                     rig.wait(Span::from_ms(ms));
                     rig.respond(id, 0, outcome, ms);
-                    let (next, actions) = (rig.sent_to(id), rig.actions.clone());
-                    let case = format!("{idempotency:?} {outcome:?} after {ms} ms, copies {copies}");
-                    let proven = outcome.is_not_executed();
-                    let inside = ms < 100.0;
+                    let (retry_server, actions) = (rig.sent_to(id), rig.actions.clone());
+                    let case =
+                        format!("{idempotency:?} {outcome:?} after {ms} ms, hedging {hedging_enabled}");
+                    let not_executed = outcome.is_not_executed();
+                    let within_window = ms < 100.0;
                     match idempotency {
-                        Idempotency::Idempotent => assert!(next.is_some(), "{case}"),
+                        Idempotency::Idempotent => assert!(retry_server.is_some(), "{case}"),
                         Idempotency::AtMostOnce => {
-                            assert_eq!(next.is_some(), proven, "{case}");
-                            assert_eq!(failed(&actions, id), !proven, "{case}");
+                            assert_eq!(retry_server.is_some(), not_executed, "{case}");
+                            assert_eq!(failed(&actions, id), !not_executed, "{case}");
                         }
                         Idempotency::Deduplicated { scope, .. } => {
-                            assert_eq!(next.is_some(), proven || inside, "{case}");
-                            let next = next.map_or(first, |s| s.0);
+                            assert_eq!(retry_server.is_some(), not_executed || within_window, "{case}");
+                            let retry_server = retry_server.map_or(first, |s| s.0);
                             match scope {
-                                _ if proven => {}
+                                _ if not_executed => {}
                                 DeduplicationScope::All => {
-                                    assert_eq!(rejected(&actions, id), !inside, "{case}")
+                                    assert_eq!(rejected(&actions, id), !within_window, "{case}")
                                 }
-                                DeduplicationScope::Zone => assert_eq!(next % 3, first % 3, "{case}"),
-                                DeduplicationScope::Cell => assert_eq!(next % 4, first % 4, "{case}"),
+                                DeduplicationScope::Zone => assert_eq!(retry_server % 3, first % 3, "{case}"),
+                                DeduplicationScope::Cell => assert_eq!(retry_server % 4, first % 4, "{case}"),
                             }
-                            if !proven && !inside && scope != DeduplicationScope::All {
+                            if !not_executed && !within_window && scope != DeduplicationScope::All {
                                 assert!(failed(&actions, id), "{case}");
                             }
                         }
@@ -71,7 +74,8 @@
     }
 }
 
-/// The window and the group are those of the first attempt that may have run, not of the first or the last.
+/// The deduplication window and scope are those of the first attempt that may have been executed, not of the
+/// first or the last attempt.
 #[test]
 fn the_deduplication_scope_is_that_of_the_first_attempt_that_may_have_been_executed() {
     let settings = Settings {
@@ -84,15 +88,15 @@
         rig.set_endpoints(fleet(9, 3, 3));
         let (id, _) = rig.request(0);
         rig.respond(id, 0, Outcome::ConnectFailed, 1.0);
-        let second = rig.sent_to(id).expect("never ran: anywhere").0;
+        let second = rig.sent_to(id).expect("not executed: any server").0;
         rig.respond(id, 1, Outcome::ConnectionReset, 1.0);
-        let third = rig.sent_to(id).expect("inside the window: same zone").0;
+        let third = rig.sent_to(id).expect("within the window: same zone").0;
         assert_eq!(third % 3, second % 3);
         rig.assert_invariants();
     }
 }
 
-/// A proven non-run after one that may have run does not lift the ban.
+/// After an attempt that may have been executed, a later one that was certainly not executed lifts no restriction.
 #[test]
 fn a_later_attempt_that_was_not_executed_does_not_clear_an_earlier_one() {
     let settings = Settings {
@@ -107,15 +111,15 @@
     rig.respond(id, 1, Outcome::Rejected, 1.0);
     let third = rig.sent_to(id).map(|s| s.0 % 4);
     assert_eq!(third.unwrap_or(first.unwrap().0 % 4), first.unwrap().0 % 4);
-    assert!(!rejected(&rig.actions, id), "it may have run in the first attempt");
+    assert!(!rejected(&rig.actions, id), "the first attempt may have been executed");
     rig.assert_invariants();
 }
 
-/// A connection may take its time to come up. What was decided before holds at the first byte, or nothing begins.
+/// Connecting can take long. An attempt may begin only if it is still permitted when its first byte would be sent.
 #[test]
 fn an_attempt_may_begin_only_while_its_retry_is_permitted() {
     let window = 100.0;
-    for (idempotency, late) in
+    for (idempotency, permitted_past_window) in
         [(Idempotency::Idempotent, true), (deduplicated(DeduplicationScope::All, window), false)]
     {
         let settings = Settings { classes: vec![class(idempotency)], ..Settings::default() };
@@ -124,18 +128,22 @@
         let (id, _) = rig.request(0);
         rig.wait(Span::from_ms(5.0));
         assert!(rig.balancer.may_begin(rig.now, id, AttemptNo(0)));
-        assert!(!rig.balancer.may_begin(rig.now, id, AttemptNo(1)), "decided on by nobody");
+        assert!(!rig.balancer.may_begin(rig.now, id, AttemptNo(1)), "no such attempt was sent");
         rig.respond(id, 0, Outcome::ConnectionReset, 5.0);
-        let server = rig.sent_to(id).expect("a repeat");
+        let server = rig.sent_to(id).expect("the request must be retried");
         assert!(rig.balancer.may_begin(rig.now, id, AttemptNo(1)));
-        let past = rig.now + Span::from_ms(window);
-        assert_eq!(rig.balancer.may_begin(past, id, AttemptNo(1)), late, "{idempotency:?}");
-        let listed = |status| Endpoint { status, ..Endpoint::serving(server) };
-        rig.notify(Event::Endpoints(EndpointUpdate::Changes(vec![listed(Status::Draining)])));
-        assert!(!rig.balancer.may_begin(rig.now, id, AttemptNo(1)), "to one that drains");
-        rig.notify(Event::Endpoints(EndpointUpdate::Changes(vec![listed(Status::Serving)])));
+        let past_window = rig.now + Span::from_ms(window);
+        assert_eq!(
+            rig.balancer.may_begin(past_window, id, AttemptNo(1)),
+            permitted_past_window,
+            "{idempotency:?}"
+        );
+        let endpoint_with = |status| Endpoint { status, ..Endpoint::serving(server) };
+        rig.notify(Event::Endpoints(EndpointUpdate::Changes(vec![endpoint_with(Status::Draining)])));
+        assert!(!rig.balancer.may_begin(rig.now, id, AttemptNo(1)), "the server is draining");
+        rig.notify(Event::Endpoints(EndpointUpdate::Changes(vec![endpoint_with(Status::Serving)])));
         assert!(rig.balancer.may_begin(rig.now, id, AttemptNo(1)));
         rig.notify(Event::ClientDisconnected { request: id });
-        assert!(!rig.balancer.may_begin(rig.now, id, AttemptNo(1)), "for nobody");
+        assert!(!rig.balancer.may_begin(rig.now, id, AttemptNo(1)), "the client has disconnected");
     }
 }
