--- a/tests/cold_server_not_pushed_over.rs
+++ b/tests/cold_server_not_pushed_over.rs
@@ -58,7 +58,7 @@
     let (after_warm_up, total) = run_load(&mut rig, 200.0, 1500.0, ServerId(5));
     assert!(
         f64::from(after_warm_up) > 0.5 * f64::from(total) / 6.0,
-        "it must have warmed up by after_warm_up: {after_warm_up} of {total}"
+        "it must have warmed up by then: {after_warm_up} of {total}"
     );
     rig.assert_invariants();
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    fn violate(&mut self, now: Time, text: String) {
+    fn record_violation(&mut self, now: Time, text: String) {
         self.violations.push(format!("{:.3} ms: {text}", now.as_ms()));
     }
 
@@ -187,11 +187,14 @@
         match action {
             Action::Send { request, server, timeout_at } => {
                 let Some(endpoint) = self.servers.get(server).cloned() else {
-                    return self
-                        .violate(now, format!("sent to {server:?}, which no endpoint list has named"));
+                    return self.record_violation(
+                        now,
+                        format!("sent to {server:?}, which no endpoint list has named"),
+                    );
                 };
                 let Some(observed) = self.requests.get(request) else {
-                    return self.violate(now, format!("sent {request:?}, which was never submitted"));
+                    return self
+                        .record_violation(now, format!("sent {request:?}, which was never submitted"));
                 };
                 let relative_cost = observed.relative_cost;
                 let has_attempt_in_flight = observed.attempts.iter().any(|a| a.outcome.is_none());
@@ -231,7 +234,7 @@
                     violations.push("sent to a cordoned server");
                 }
                 for text in violations {
-                    self.violate(now, format!("{request:?}: {text}"));
+                    self.record_violation(now, format!("{request:?}: {text}"));
                 }
                 let attempt =
                     ObservedAttempt { sent_at: now, zone: endpoint.zone, cell: endpoint.cell, outcome: None };
@@ -241,13 +244,16 @@
             }
             Action::Reject { request, .. } => {
                 if self.requests.get(request).is_some_and(|observed| !self.may_reject(observed)) {
-                    self.violate(now, format!("{request:?}: rejected though it may have been executed"));
+                    self.record_violation(
+                        now,
+                        format!("{request:?}: rejected though it may have been executed"),
+                    );
                 }
                 self.finish(now, *request);
             }
             Action::Fail { request } => self.finish(now, *request),
             Action::HealthCheck { server } if self.cordoned_since.get(server).is_some_and(|at| now > *at) => {
-                self.violate(now, format!("health check sent to {server:?}, which is cordoned"));
+                self.record_violation(now, format!("health check sent to {server:?}, which is cordoned"));
             }
             _ => {}
         }
@@ -264,7 +270,7 @@
             }
         };
         if let Some(text) = text {
-            self.violate(now, format!("{request:?}: {text}"));
+            self.record_violation(now, format!("{request:?}: {text}"));
         }
     }
 
@@ -304,7 +310,7 @@
         let sent_to_server = self.sends.iter().filter(|(_, s, _)| *s == server).map(|s| s.2).sum::<f64>();
         let average = sent_to_warmed_up / warmed_up.len() as f64;
         if sent_to_server > 5.0 + self.settings.overload_factor * server_factor * average {
-            self.violate(
+            self.record_violation(
                 now,
                 format!("{server:?}: warming up, sent {sent_to_server}, a warmed-up server {average:.1}"),
             );
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -10,7 +10,7 @@
 
 /// Submits `count` requests, 1 ms apart, to a fleet of one server; returns those that were sent and those that
 /// were queued.
-fn fill(rig: &mut Rig, count: u32) -> (Vec<RequestId>, Vec<RequestId>) {
+fn fill_until_queued(rig: &mut Rig, count: u32) -> (Vec<RequestId>, Vec<RequestId>) {
     rig.set_endpoints(fleet(1, 1, 1));
     let requests: Vec<_> = (0..count)
         .map(|_| {
@@ -26,7 +26,7 @@
 #[test]
 fn queued_requests_are_sent_newest_first() {
     let mut rig = Rig::new(settings(), 1);
-    let (sent, queued) = fill(&mut rig, 12);
+    let (sent, queued) = fill_until_queued(&mut rig, 12);
     assert!(!sent.is_empty() && queued.len() > 4);
     rig.respond(sent[0], 0, Outcome::Success, 20.0);
     assert!(rig.sent_to(*queued.last().unwrap()).is_some());
@@ -36,7 +36,7 @@
 #[test]
 fn queued_requests_are_rejected_before_their_latency_objective_has_passed() {
     let mut rig = Rig::new(settings(), 1);
-    let (_, queued) = fill(&mut rig, 12);
+    let (_, queued) = fill_until_queued(&mut rig, 12);
     let start = rig.now;
     let mut rejections = 0;
     while rig.now.since(start) < Span::from_ms(200.0) {
@@ -249,8 +249,8 @@
     );
 }
 
-/// A client retry is recognized by having less time left than is usual in its class. Once its latency objective
-/// has passed, it is not worth serving.
+/// A client retry is recognized by a time left that is unusual in its class. Once its latency objective has passed,
+/// serving it would waste capacity.
 #[test]
 fn a_client_retry_past_its_latency_objective_is_rejected() {
     let mut rig = Rig::new(settings(), 1);
@@ -260,7 +260,10 @@
         rig.notify(Event::Request(request)).iter().any(|a| matches!(a, Action::Send { .. }))
     };
     for id in 0..10 {
-        assert!(submit(id, 500.0), "the first requests of a class all have 500 of 800 ms left");
+        assert!(
+            submit(id, 500.0),
+            "first attempts of clients have the time left that is usual in the class, here 500 of 800 ms"
+        );
     }
     assert!(submit(10, 700.0), "100 ms used: half of the latency objective is left");
     assert!(!submit(11, 580.0), "220 ms used: past the latency objective of 200 ms");
@@ -394,7 +397,7 @@
 
 /// Resets a fifth of all attempts and answers the others after `ms`. Returns, per request that was sent, the
 /// share that was not served and the number of retries.
-fn resets_at(ms: f64) -> (f64, f64) {
+fn serve_with_resets(ms: f64) -> (f64, f64) {
     let mut rig = Rig::new(Settings { balancers: 20, ..settings() }, 1);
     rig.set_endpoints(fleet(24, 1, 1));
     let mut rng = fastrand::Rng::with_seed(7);
@@ -425,9 +428,9 @@
 /// with connection resets failed every tenth request.
 #[test]
 fn resets_fail_no_requests_in_a_fleet_with_capacity_and_add_to_no_overload() {
-    let (unserved, retries) = resets_at(10.0);
+    let (unserved, retries) = serve_with_resets(10.0);
     assert!(unserved < 0.02, "with capacity: {unserved:.3} not served, {retries:.3} retries");
-    let (unserved, retries) = resets_at(180.0);
+    let (unserved, retries) = serve_with_resets(180.0);
     assert!(retries < 0.13, "with late responses: {retries:.3} retries, {unserved:.3} not served");
 }
 
