--- a/agent/src/downstream/body_reader.rs
+++ b/agent/src/downstream/body_reader.rs
@@ -2,7 +2,7 @@
 
 use crate::downstream::errors::RequestError;
 use crate::downstream::lifecycle::Lifecycle;
-use crate::driver::arrival::Content;
+use crate::driver::client_request::RequestBody;
 use crate::traffic::body_deadline::BodyDeadline;
 use crate::traffic::memory_budget::{MemoryBudget, MemoryReservation, MAX_BUFFERED_BODY_BYTES};
 use crate::traffic::request_body::{BodyError, LongBody, RequestBodyStream, MAX_REQUEST_BODY_BYTES};
@@ -34,7 +34,7 @@
 /// A body, as far as it is buffered.
 pub struct ReceivedBody {
     /// The body, or its stream.
-    pub content: Content,
+    pub content: RequestBody,
     /// How long it has waited for memory altogether.
     pub memory_wait: Duration,
 }
@@ -69,7 +69,7 @@
             memory_wait = memory.waited;
             match self.read_short(&mut body).await? {
                 BufferedBody::Complete(bytes) => {
-                    let content = Content::Buffered { bytes, _reservation: memory.reservation };
+                    let content = RequestBody::Buffered { bytes, _reservation: memory.reservation };
                     return Ok(ReceivedBody { content, memory_wait });
                 }
                 BufferedBody::Beginning(bytes) => beginning = bytes,
@@ -86,7 +86,7 @@
             reservation: memory.reservation,
             received_since: Instant::now() - memory_wait,
         });
-        Ok(ReceivedBody { content: Content::Streamed(stream), memory_wait })
+        Ok(ReceivedBody { content: RequestBody::Streamed(stream), memory_wait })
     }
 
     async fn read_short(&mut self, body: &mut Incoming) -> Result<BufferedBody, BodyError> {
--- a/agent/src/downstream/handler.rs
+++ b/agent/src/downstream/handler.rs
@@ -5,7 +5,7 @@
 use crate::downstream::lifecycle::Lifecycle;
 use crate::downstream::request_head::{header_text, RequestHead};
 use crate::downstream::responses::{answer_response, error_response, text_response};
-use crate::driver::arrival::Arrival;
+use crate::driver::client_request::ClientRequest;
 use crate::driver::{Driver, ANSWER_TURNS};
 use crate::traffic::body_deadline::BodyDeadline;
 use crate::traffic::connection_timer::{yield_turns, StartedRequest};
@@ -97,7 +97,7 @@
         }
         let request_id = request.headers().get("x-request-id").cloned();
         match self.read(request, body_deadline).await {
-            Ok(arrival) => self.wait_for_answer(arrival).await,
+            Ok(client_request) => self.wait_for_answer(client_request).await,
             Err(error) => {
                 let request_id = request_id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or_default();
                 self.driver.record_invalid_request(request_id, error.status(), &error.to_string());
@@ -126,7 +126,7 @@
         &self,
         request: Request<Incoming>,
         body_deadline: BodyDeadline,
-    ) -> Result<Arrival, RequestError> {
+    ) -> Result<ClientRequest, RequestError> {
         let (parts, body) = request.into_parts();
         let head = RequestHead::parse(&parts, &self.driver.names, &self.driver.idempotency)?;
         let reader = BodyReader {
@@ -139,13 +139,13 @@
         let body = reader.read(body).await?;
         // While the body waited for memory its client may have sent all of it, and its time went by.
         let arrived_at = Instant::now() - body.memory_wait;
-        Ok(Arrival {
+        Ok(ClientRequest {
             class: head.class,
             tenant: head.tenant,
-            key: head.key,
+            affinity_key: head.key,
             cost_hint: head.cost_hint,
-            repeat: head.is_retry,
-            name: head.request_id,
+            is_retry: head.is_retry,
+            request_id: head.request_id,
             arrived_at,
             deadline: self.deadline(arrived_at, head.wait),
             headers: forwarded_headers(&parts.headers),
@@ -165,9 +165,13 @@
         arrived_at + (wait - reserve)
     }
 
-    async fn wait_for_answer(&self, arrival: Arrival) -> Response<ResponseBody> {
-        let (deadline, wait, body) = (arrival.deadline, arrival.wait(), arrival.intake().cloned());
-        let (id, answer) = self.driver.submit(arrival);
+    async fn wait_for_answer(&self, client_request: ClientRequest) -> Response<ResponseBody> {
+        let (deadline, wait, body) = (
+            client_request.deadline,
+            client_request.response_timeout(),
+            client_request.streamed_body().cloned(),
+        );
+        let (id, answer) = self.driver.submit(client_request);
         // When the client disconnects, hyper drops this future, and the guard notifies the balancer.
         let _pending = PendingRequest { driver: &self.driver, id };
         let response = tokio::select! {
--- a/agent/src/driver/attempts.rs
+++ b/agent/src/driver/attempts.rs
@@ -1,6 +1,6 @@
 //! In-flight attempts: which there are, how long each may take, and what of them can still be cancelled.
 
-use super::arrival::Arrival;
+use super::client_request::ClientRequest;
 use crate::traffic::attempt_body::AttemptBody;
 use crate::traffic::connection_timer::yield_turns;
 use crate::traffic::request_body::RequestBodyStream;
@@ -64,33 +64,38 @@
     sent: Instant,
     timeout_at: Instant,
     upload: Option<Rc<RequestBodyStream>>,
-    client_wait: Duration,
+    response_timeout: Duration,
 }
 
 impl AttemptTime {
     /// The time of an attempt that is sent now; `timeout_at` holds for one whose body is not streamed.
-    pub fn start(arrival: &Arrival, timeout_at: Instant) -> Self {
-        let upload = arrival.intake().cloned();
-        AttemptTime { sent: Instant::now(), timeout_at, upload, client_wait: arrival.wait() }
+    pub fn start(client_request: &ClientRequest, timeout_at: Instant) -> Self {
+        let upload = client_request.streamed_body().cloned();
+        AttemptTime {
+            sent: Instant::now(),
+            timeout_at,
+            upload,
+            response_timeout: client_request.response_timeout(),
+        }
     }
 
     /// Returns once the attempt has timed out, and an answer that is at the socket by then has been read.
     pub async fn wait_for_timeout(&self) {
         match &self.upload {
             None => sleep_until(self.timeout_at).await,
-            Some(upload) => upload.wait_for_attempt_timeout(self.client_wait).await,
+            Some(upload) => upload.wait_for_attempt_timeout(self.response_timeout).await,
         }
         yield_turns(ANSWER_TURNS).await;
     }
 
     /// What the server is sent, with the time that the attempt has left at `now`: its connection may have taken a good
     /// part of the wait to be established.
-    pub fn outgoing(&self, arrival: &Arrival, now: Instant) -> Request<AttemptBody> {
+    pub fn build_request(&self, client_request: &ClientRequest, now: Instant) -> Request<AttemptBody> {
         let time_left = match &self.upload {
             None => self.timeout_at.saturating_duration_since(now),
-            Some(upload) => self.client_wait.saturating_sub(upload.unread_time()),
+            Some(upload) => self.response_timeout.saturating_sub(upload.unread_time()),
         };
-        arrival.outgoing(time_left)
+        client_request.build_request(time_left)
     }
 
     /// From when the attempt's duration counts: when it was sent, or a streamed body's last byte if that came later.
--- a/agent/src/driver/arrival.rs
+++ b/agent/src/driver/client_request.rs
@@ -17,36 +17,36 @@
 const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("x-timeout");
 
 /// A request as the application sent it.
-pub struct Arrival {
+pub struct ClientRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query.
     pub uri: Uri,
     /// The application's name for it.
-    pub name: String,
+    pub request_id: String,
     /// When it was complete; when its head was, if its body is streamed.
     pub arrived_at: Instant,
     /// The headers that are forwarded.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: Content,
+    pub body: RequestBody,
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
     pub tenant: Option<TenantId>,
     /// Its affinity key.
-    pub key: Option<AffinityKey>,
+    pub affinity_key: Option<AffinityKey>,
     /// The client's estimate of its work.
     pub cost_hint: Option<Span>,
     /// The client says that it is a retry.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// When its answer must have begun. For a streamed body, the time from `arrived_at` to this counts anew from its
     /// last byte.
     pub deadline: Instant,
 }
 
 /// The body of a request.
-pub enum Content {
+pub enum RequestBody {
     /// Complete, in memory reserved for as long as the request lives.
     Buffered {
         /// All of it.
@@ -58,25 +58,25 @@
     Streamed(Rc<RequestBodyStream>),
 }
 
-impl Arrival {
+impl ClientRequest {
     /// Its body, if that is forwarded while it arrives.
-    pub fn intake(&self) -> Option<&Rc<RequestBodyStream>> {
+    pub fn streamed_body(&self) -> Option<&Rc<RequestBodyStream>> {
         match &self.body {
-            Content::Buffered { .. } => None,
-            Content::Streamed(intake) => Some(intake),
+            RequestBody::Buffered { .. } => None,
+            RequestBody::Streamed(body) => Some(body),
         }
     }
 
     /// How long its client waits.
-    pub fn wait(&self) -> Duration {
+    pub fn response_timeout(&self) -> Duration {
         self.deadline.saturating_duration_since(self.arrived_at)
     }
 
     /// The request for a server: unchanged, with the time that the agent will wait.
-    pub fn outgoing(&self, wait: Duration) -> Request<AttemptBody> {
+    pub fn build_request(&self, timeout: Duration) -> Request<AttemptBody> {
         let body = match &self.body {
-            Content::Buffered { bytes, .. } => AttemptBody::Buffered(Full::new(bytes.clone())),
-            Content::Streamed(intake) => AttemptBody::streamed(intake),
+            RequestBody::Buffered { bytes, .. } => AttemptBody::Buffered(Full::new(bytes.clone())),
+            RequestBody::Streamed(body) => AttemptBody::streamed(body),
         };
         let length = body.size_hint().exact();
         let mut request = Request::new(body);
@@ -84,8 +84,8 @@
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
         let headers = request.headers_mut();
-        let wait = HeaderValue::from_str(&format!("{}u", wait.as_micros().max(1)));
-        headers.extend(wait.ok().map(|wait| (TIMEOUT_HEADER, wait)));
+        let timeout = HeaderValue::from_str(&format!("{}u", timeout.as_micros().max(1)));
+        headers.extend(timeout.ok().map(|timeout| (TIMEOUT_HEADER, timeout)));
         let is_bodiless = matches!(self.method, Method::GET | Method::HEAD);
         if let Some(length) = length.filter(|length| !is_bodiless || *length > 0) {
             headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -5,8 +5,8 @@
 //! file owns its own state: the queue has the balancer and its timers, `servers` the endpoint list, `requests` the
 //! pending requests. [`Driver`] connects them.
 
-pub mod arrival;
 mod attempts;
+pub mod client_request;
 pub mod clock;
 mod endpoint_updates;
 mod known_server;
@@ -24,7 +24,6 @@
 use crate::upstream::client::UpstreamClient;
 use crate::upstream::discovery::{DiscoveryClient, DiscoveryEvent, Listener};
 use crate::upstream::exchange::ExchangeResult;
-use arrival::Arrival;
 pub use attempts::ANSWER_TURNS;
 use attempts::{AttemptId, AttemptTime};
 use balancer::{
@@ -32,6 +31,7 @@
     Time, ZoneId,
 };
 use balancer_settings::Names;
+use client_request::ClientRequest;
 use clock::{Clock, WallClock};
 use endpoint_updates::{apply_discovery_event, forget_removed_servers};
 use hyper::StatusCode;
@@ -207,28 +207,28 @@
     // Requests and their attempts.
 
     /// Hands a request to the balancer; its answer comes over the channel.
-    pub fn submit(self: &Rc<Self>, arrival: Arrival) -> (RequestId, oneshot::Receiver<Answer>) {
+    pub fn submit(self: &Rc<Self>, client_request: ClientRequest) -> (RequestId, oneshot::Receiver<Answer>) {
         let (answer, receiver) = oneshot::channel();
         let id = self.state.borrow_mut().requests.next_id();
         let request = balancer::Request {
             id,
-            class: arrival.class,
-            tenant: arrival.tenant,
-            affinity_key: arrival.key,
-            cost_hint: arrival.cost_hint,
-            is_retry: arrival.repeat,
-            time_left: self.clock.at(arrival.deadline).since(self.clock.now()),
-            uploading: arrival.intake().is_some(),
+            class: client_request.class,
+            tenant: client_request.tenant,
+            affinity_key: client_request.affinity_key,
+            cost_hint: client_request.cost_hint,
+            is_retry: client_request.is_retry,
+            time_left: self.clock.at(client_request.deadline).since(self.clock.now()),
+            uploading: client_request.streamed_body().is_some(),
         };
-        let metrics = match arrival.intake() {
-            None => self.metrics.begin_request(arrival.class.0),
-            Some(intake) => {
+        let metrics = match client_request.streamed_body() {
+            None => self.metrics.begin_request(client_request.class.0),
+            Some(body) => {
                 let driver = self.clone();
-                intake.set_listener(move |body_event| driver.record_body_progress(id, body_event));
-                self.metrics.begin_upload(arrival.class.0)
+                body.set_listener(move |body_event| driver.record_body_progress(id, body_event));
+                self.metrics.begin_upload(client_request.class.0)
             }
         };
-        let pending = PendingRequest::new(Rc::new(arrival), answer, metrics);
+        let pending = PendingRequest::new(Rc::new(client_request), answer, metrics);
         self.state.borrow_mut().requests.insert(id, pending);
         self.handle(Event::Request(request));
         (id, receiver)
@@ -265,17 +265,19 @@
         timeout_at: Time,
     ) {
         let Some(attempt) = state.requests.begin_attempt(request) else { return };
-        let NewAttempt { id, arrival, progress } = attempt;
-        let time = AttemptTime::start(&arrival, self.clock.instant(timeout_at));
+        let NewAttempt { id, client_request, progress } = attempt;
+        let time = AttemptTime::start(&client_request, self.clock.instant(timeout_at));
         let driver = self.clone();
         tokio::task::spawn_local(async move {
             let begin = || {
                 let now = Instant::now();
-                driver.may_begin(id, now).then(|| time.outgoing(&arrival, now))
+                driver.may_begin(id, now).then(|| time.build_request(&client_request, now))
             };
             let timeout = time.wait_for_timeout();
-            let ended =
-                driver.upstream.send_attempt(server, begin, arrival.intake(), timeout, &progress).await;
+            let ended = driver
+                .upstream
+                .send_attempt(server, begin, client_request.streamed_body(), timeout, &progress)
+                .await;
             driver.finish_attempt(id, server, ended, time.measured_from().elapsed());
         });
     }
--- a/agent/src/driver/requests.rs
+++ b/agent/src/driver/requests.rs
@@ -1,8 +1,8 @@
 //! Pending requests: those that are owed an answer. Each gets one final answer, at which its attempts are cancelled as
 //! far as they are unwritten, its end is counted and, if it did not go well, logged.
 
-use super::arrival::Arrival;
 use super::attempts::{AttemptId, InFlightAttempts};
+use super::client_request::ClientRequest;
 use crate::log::{describe_attempts, FailedAttempt, Log};
 use crate::metrics::{RequestEnd, RequestMetrics};
 use crate::traffic::request_body::BodyEvent;
@@ -31,7 +31,7 @@
 pub struct PendingRequest {
     answer: oneshot::Sender<Answer>,
     /// What the application sent.
-    pub arrival: Rc<Arrival>,
+    pub client_request: Rc<ClientRequest>,
     metrics: RequestMetrics,
     last_attempt_timed_out: bool,
     /// Attempts without a served answer, for the log.
@@ -40,9 +40,13 @@
 
 impl PendingRequest {
     /// A request without attempts whose answer goes to `answer` and whose end is counted by `metrics`.
-    pub fn new(arrival: Rc<Arrival>, answer: oneshot::Sender<Answer>, metrics: RequestMetrics) -> Self {
+    pub fn new(
+        client_request: Rc<ClientRequest>,
+        answer: oneshot::Sender<Answer>,
+        metrics: RequestMetrics,
+    ) -> Self {
         let (last_attempt_timed_out, failed_attempts) = Default::default();
-        PendingRequest { answer, arrival, metrics, last_attempt_timed_out, failed_attempts }
+        PendingRequest { answer, client_request, metrics, last_attempt_timed_out, failed_attempts }
     }
 }
 
@@ -60,7 +64,7 @@
     /// Its name.
     pub id: AttemptId,
     /// What the application sent.
-    pub arrival: Rc<Arrival>,
+    pub client_request: Rc<ClientRequest>,
     /// For the task that makes it.
     pub progress: Rc<AttemptProgress>,
 }
@@ -100,8 +104,8 @@
 
     /// Whether a pending request's streamed body has broken off.
     pub fn is_body_broken(&self, id: RequestId) -> bool {
-        let intake = self.pending.get(&id).and_then(|request| request.arrival.intake());
-        intake.is_some_and(|intake| intake.has_failed())
+        let body = self.pending.get(&id).and_then(|request| request.client_request.streamed_body());
+        body.is_some_and(|body| body.has_failed())
     }
 
     /// Adds an attempt at a request, if that is pending.
@@ -109,8 +113,8 @@
         let pending = self.pending.get_mut(&request)?;
         let id = AttemptId { request, number: AttemptNo(pending.metrics.attempts) };
         pending.metrics.attempts += 1;
-        let arrival = pending.arrival.clone();
-        Some(NewAttempt { id, arrival, progress: self.attempts.begin(id) })
+        let client_request = pending.client_request.clone();
+        Some(NewAttempt { id, client_request, progress: self.attempts.begin(id) })
     }
 
     /// Records an attempt without a served answer for its request, if that is pending.
@@ -127,9 +131,9 @@
             BodyEvent::Consumed => Event::BodyConsumed { request: id },
             BodyEvent::Complete => {
                 pending.metrics.mark_arrived();
-                let complete_at = pending.arrival.intake().and_then(|intake| intake.completed_at());
+                let complete_at = pending.client_request.streamed_body().and_then(|body| body.completed_at());
                 let elapsed = complete_at.map_or(Duration::ZERO, |complete_at| complete_at.elapsed());
-                let time_left = pending.arrival.wait().saturating_sub(elapsed);
+                let time_left = pending.client_request.response_timeout().saturating_sub(elapsed);
                 Event::BodyComplete { request: id, time_left: Span(time_left.as_micros() as u64) }
             }
         })
@@ -194,7 +198,7 @@
         served_by: Option<ServerLabel>,
     ) {
         let now = Instant::now();
-        let PendingRequest { arrival, metrics, failed_attempts, .. } = request;
+        let PendingRequest { client_request, metrics, failed_attempts, .. } = request;
         // One that was served is logged only after an attempt that failed.
         if (matches!(end, RequestEnd::Served) && failed_attempts.is_empty())
             || !self.log.request_lines.admit_line(now)
@@ -205,14 +209,14 @@
             Some(attempt) => ServerLabel { name: &attempt.server, zone: &attempt.zone },
             None => ServerLabel { name: "", zone: "" },
         });
-        let class = names.classes.get(arrival.class.0).map_or("", String::as_str);
-        let took_ms = tenths_of_ms(now.saturating_duration_since(arrival.arrived_at));
-        let of_ms = tenths_of_ms(arrival.wait());
+        let class = names.classes.get(client_request.class.0).map_or("", String::as_str);
+        let took_ms = tenths_of_ms(now.saturating_duration_since(client_request.arrived_at));
+        let of_ms = tenths_of_ms(client_request.response_timeout());
         macro_rules! line {
             ($level:ident, $outcome:literal) => {
                 tracing::$level!(
                     target: "request",
-                    request = format_args!("{:.64}", arrival.name),
+                    request = format_args!("{:.64}", client_request.request_id),
                     class,
                     outcome = $outcome,
                     server = server.name,
--- a/agent/tests/layers.rs
+++ b/agent/tests/layers.rs
@@ -62,7 +62,7 @@
     "driver/queue",
     "driver/known_server",
     "driver/servers",
-    "driver/arrival",
+    "driver/client_request",
     "driver/attempts",
     "driver/requests",
     "driver/endpoint_updates",
