--- a/agent/src/downstream/handler.rs
+++ b/agent/src/downstream/handler.rs
@@ -6,7 +6,7 @@
 use crate::downstream::request_head::{header_text, RequestHead};
 use crate::downstream::responses::{answer_response, error_response, text_response};
 use crate::driver::client_request::ClientRequest;
-use crate::driver::{Driver, ANSWER_TURNS};
+use crate::driver::{Driver, RESPONSE_DELIVERY_TURNS};
 use crate::traffic::body_deadline::BodyDeadline;
 use crate::traffic::connection_timer::{yield_turns, StartedRequest};
 use crate::traffic::request_body::{BodyError, RequestBodyStream};
@@ -130,7 +130,7 @@
         let (parts, body) = request.into_parts();
         let head = RequestHead::parse(&parts, &self.driver.names, &self.driver.idempotency)?;
         let reader = BodyReader {
-            budget: &self.driver.budget,
+            budget: &self.driver.memory_budget,
             lifecycle: &self.lifecycle,
             deadline: body_deadline,
             expects_continue: parts.headers.contains_key(EXPECT),
@@ -209,5 +209,5 @@
         None => sleep_until(deadline + OVERDUE_GRACE).await,
         Some(body) => sleep_until(body.wait_until_complete().await + wait + OVERDUE_GRACE).await,
     }
-    yield_turns(2 * ANSWER_TURNS).await;
+    yield_turns(2 * RESPONSE_DELIVERY_TURNS).await;
 }
--- a/agent/src/downstream/responses.rs
+++ b/agent/src/downstream/responses.rs
@@ -1,7 +1,7 @@
 //! Builds the responses that clients get.
 
 use crate::downstream::errors::RequestError;
-use crate::driver::requests::Answer;
+use crate::driver::requests::FinalResponse;
 use crate::traffic::response_body::ResponseBody;
 use crate::upstream::exchange::ServedResponse;
 use balancer::Span;
@@ -9,23 +9,23 @@
 use hyper::{Response, StatusCode};
 
 /// The response that the balancer has decided on.
-pub fn answer_response(answer: Answer) -> Response<ResponseBody> {
+pub fn answer_response(answer: FinalResponse) -> Response<ResponseBody> {
     match answer {
-        Answer::Served(served) => {
+        FinalResponse::Served(served) => {
             let ServedResponse { content_type, content_length, body } = *served;
             let mut response = Response::new(body);
             response.headers_mut().extend(content_type.map(|value| (CONTENT_TYPE, value)));
             response.headers_mut().extend(content_length.map(|value| (CONTENT_LENGTH, value)));
             response
         }
-        Answer::Rejected(retry_after) => {
+        FinalResponse::Rejected(retry_after) => {
             let status = StatusCode::TOO_MANY_REQUESTS;
             let mut response = text_response(status, "refused; trying again is harmless");
             let retry_after = retry_after.and_then(retry_after_seconds);
             response.headers_mut().extend(retry_after.map(|value| (RETRY_AFTER, value)));
             response
         }
-        Answer::Failed(status) => text_response(status, "failed"),
+        FinalResponse::Failed(status) => text_response(status, "failed"),
     }
 }
 
--- a/agent/src/downstream/server.rs
+++ b/agent/src/downstream/server.rs
@@ -66,7 +66,7 @@
 
     /// Accepts connections until it is dropped, or until the process enters [`Phase::Closing`].
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
-        self.driver.accepts.set(true);
+        self.driver.is_accepting.set(true);
         let mut phases = self.handler.lifecycle().subscribe();
         tokio::select! {
             () = self.accept_all(&listener) => return,
@@ -140,7 +140,7 @@
     }
 
     fn leave_running(&self, phase: Phase) {
-        self.driver.accepts.set(false);
+        self.driver.is_accepting.set(false);
         self.handler.lifecycle().enter(phase);
     }
 
--- a/agent/src/driver/attempts.rs
+++ b/agent/src/driver/attempts.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep_until, Instant};
 
 /// Turns of the runtime from an answer at a socket to the attempt that waits for it, and some to spare.
-pub const ANSWER_TURNS: u32 = 8;
+pub const RESPONSE_DELIVERY_TURNS: u32 = 8;
 
 /// Names one attempt of all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -85,7 +85,7 @@
             None => sleep_until(self.timeout_at).await,
             Some(upload) => upload.wait_for_attempt_timeout(self.response_timeout).await,
         }
-        yield_turns(ANSWER_TURNS).await;
+        yield_turns(RESPONSE_DELIVERY_TURNS).await;
     }
 
     /// What the server is sent, with the time that the attempt has left at `now`: its connection may have taken a good
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -24,7 +24,7 @@
 use crate::upstream::client::UpstreamClient;
 use crate::upstream::discovery::{DiscoveryClient, DiscoveryEvent, Listener};
 use crate::upstream::exchange::ExchangeResult;
-pub use attempts::ANSWER_TURNS;
+pub use attempts::RESPONSE_DELIVERY_TURNS;
 use attempts::{AttemptId, AttemptTime};
 use balancer::{
     Action, Balancer, EndpointUpdate, Event, Idempotency, RequestId, ServerId, SettingsError, Snapshot, Span,
@@ -37,7 +37,7 @@
 use hyper::StatusCode;
 use known_server::number_of;
 use queue::Queue;
-use requests::{Answer, NewAttempt, PendingRequest, PendingRequests, ServerLabel};
+use requests::{FinalResponse, NewAttempt, PendingRequest, PendingRequests, ServerLabel};
 use servers::Servers;
 use state::State;
 use std::cell::{Cell, RefCell};
@@ -62,10 +62,10 @@
     /// Whether requests of a class are idempotent, by the class's number.
     pub idempotency: Vec<Idempotency>,
     /// Clients are being accepted.
-    pub accepts: Cell<bool>,
+    pub is_accepting: Cell<bool>,
     metrics: Rc<Metrics>,
     /// The memory that bodies may take.
-    pub budget: Rc<MemoryBudget>,
+    pub memory_budget: Rc<MemoryBudget>,
     upstream: Rc<UpstreamClient>,
     state: RefCell<State>,
     wake: Notify,
@@ -83,12 +83,12 @@
         let wall_clock = Rc::new(WallClock::new(clock));
         let idempotency = config.settings.classes.iter().map(|class| class.idempotency).collect();
         let metrics = Metrics::new(config.names.classes.len());
-        let budget = Rc::new(MemoryBudget::for_process(config.memory_mb, config.is_memory_shared));
+        let memory_budget = Rc::new(MemoryBudget::for_process(config.memory_mb, config.is_memory_shared));
         let connect_timeout = Duration::from_micros(config.names.connect_timeout.0);
         let upstream = Rc::new(UpstreamClient::new(
             connections,
             metrics.clone(),
-            budget.clone(),
+            memory_budget.clone(),
             connect_timeout,
             Duration::from_micros(config.names.keepalive.0),
             config.names.report_fields.clone(),
@@ -115,9 +115,9 @@
             wall_clock,
             names: config.names,
             idempotency,
-            accepts: Cell::new(false),
+            is_accepting: Cell::new(false),
             metrics,
-            budget,
+            memory_budget,
             upstream,
             state: RefCell::new(state),
             wake: Notify::new(),
@@ -207,7 +207,10 @@
     // Requests and their attempts.
 
     /// Hands a request to the balancer; its answer comes over the channel.
-    pub fn submit(self: &Rc<Self>, client_request: ClientRequest) -> (RequestId, oneshot::Receiver<Answer>) {
+    pub fn submit(
+        self: &Rc<Self>,
+        client_request: ClientRequest,
+    ) -> (RequestId, oneshot::Receiver<FinalResponse>) {
         let (answer, receiver) = oneshot::channel();
         let id = self.state.borrow_mut().requests.next_id();
         let request = balancer::Request {
@@ -438,7 +441,7 @@
 
     /// Whether this process accepts clients and can serve them.
     pub fn is_serving(&self) -> bool {
-        self.accepts.get() && self.is_ready()
+        self.is_accepting.get() && self.is_ready()
     }
 
     /// All counts since the start.
--- a/agent/src/driver/requests.rs
+++ b/agent/src/driver/requests.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 /// The one final answer to a request.
-pub enum Answer {
+pub enum FinalResponse {
     /// A server's answer, complete or begun.
     Served(Box<ServedResponse>),
     /// Rejected by the balancer; a retry is harmless, and makes sense after this long.
@@ -29,7 +29,7 @@
 
 /// A request that is owed its answer.
 pub struct PendingRequest {
-    answer: oneshot::Sender<Answer>,
+    answer: oneshot::Sender<FinalResponse>,
     /// What the application sent.
     pub client_request: Rc<ClientRequest>,
     metrics: RequestMetrics,
@@ -42,7 +42,7 @@
     /// A request without attempts whose answer goes to `answer` and whose end is counted by `metrics`.
     pub fn new(
         client_request: Rc<ClientRequest>,
-        answer: oneshot::Sender<Answer>,
+        answer: oneshot::Sender<FinalResponse>,
         metrics: RequestMetrics,
     ) -> Self {
         let (last_attempt_timed_out, failed_attempts) = Default::default();
@@ -148,17 +148,17 @@
 
     /// Answers a request with the balancer's rejection; a retry makes sense after `retry_after`.
     pub fn reject(&mut self, id: RequestId, retry_after: Option<Span>, names: &Names) {
-        self.answer(id, Answer::Rejected(retry_after), RequestEnd::Rejected, names);
+        self.answer(id, FinalResponse::Rejected(retry_after), RequestEnd::Rejected, names);
     }
 
     /// Answers a request with its failure: 504 if its last attempt timed out, otherwise 502.
     pub fn fail(&mut self, id: RequestId, names: &Names) {
         let timed_out = self.pending.get(&id).is_some_and(|request| request.last_attempt_timed_out);
         let status = if timed_out { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-        self.answer(id, Answer::Failed(status), RequestEnd::Failed, names);
+        self.answer(id, FinalResponse::Failed(status), RequestEnd::Failed, names);
     }
 
-    fn answer(&mut self, id: RequestId, answer: Answer, end: RequestEnd, names: &Names) {
+    fn answer(&mut self, id: RequestId, answer: FinalResponse, end: RequestEnd, names: &Names) {
         let Some(request) = self.remove(id) else { return };
         self.log_end(&request, end, names, None);
         request.metrics.end(end);
@@ -178,7 +178,7 @@
         let Some(request) = self.remove(id) else { return };
         self.log_end(&request, RequestEnd::Served, names, Some(server));
         served.body.end_request_with(request.metrics, on_abort);
-        let _ = request.answer.send(Answer::Served(Box::new(served)));
+        let _ = request.answer.send(FinalResponse::Served(Box::new(served)));
     }
 
     /// Removes a request that is about to end; its unwritten attempts are cancelled.
--- a/agent/src/process.rs
+++ b/agent/src/process.rs
@@ -220,7 +220,7 @@
         admin.poll_commands();
         admin.poll_snapshot();
         // A process that has handed over leaves the file to the new one.
-        if driver.accepts.get() && stored_at.elapsed() >= snapshot::STORE_INTERVAL {
+        if driver.is_accepting.get() && stored_at.elapsed() >= snapshot::STORE_INTERVAL {
             admin.store_snapshot();
             stored_at = Instant::now();
         }
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -62,7 +62,7 @@
     config.seed = number as u64;
     let (name, listen) = (format!("h{number}"), config.listen.to_string());
     let driver = Driver::start(config, BACKENDS).map_err(|e| e.to_string())?;
-    driver.accepts.set(true);
+    driver.is_accepting.set(true);
     tokio::task::spawn_local(driver.clone().run());
     if let Some(port) = args.staff {
         let staff = Admin::new(driver.clone(), None, name, listen);
