--- a/agent/src/driver/client_request.rs
+++ b/agent/src/driver/client_request.rs
@@ -1,4 +1,4 @@
-//! A request as the application sent it, and what of it is sent to a server.
+//! A client's request, and the request to a server that is built from it.
 
 use crate::traffic::attempt_body::AttemptBody;
 use crate::traffic::memory_budget::MemoryReservation;
@@ -13,53 +13,53 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Tells a server how long the agent waits for its answer.
+/// Tells a server how long the agent waits for its response.
 const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("x-timeout");
 
-/// A request as the application sent it.
+/// A valid request from a client.
 pub struct ClientRequest {
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub uri: Uri,
-    /// The application's name for it.
+    /// The client's `X-Request-ID`, for the log.
     pub request_id: String,
-    /// When it was complete; when its head was, if its body is streamed.
+    /// When the request was complete or, if its body is streamed, when its head was.
     pub arrived_at: Instant,
-    /// The headers that are forwarded.
+    /// The headers that are forwarded to a server.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body, buffered or streamed.
     pub body: RequestBody,
-    /// Its class.
+    /// The request class.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant, if the request names one.
     pub tenant: Option<TenantId>,
-    /// Its affinity key.
+    /// The affinity key, if the request has one.
     pub affinity_key: Option<AffinityKey>,
-    /// The client's estimate of its work.
+    /// The client's estimate of how long the request takes to execute, if it gave one.
     pub cost_hint: Option<Span>,
-    /// The client says that it is a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// When its answer must have begun. For a streamed body, the time from `arrived_at` to this counts anew from its
-    /// last byte.
+    /// When the response must have begun. With a streamed body, the time from `arrived_at` to this instant starts again
+    /// at the body's last byte.
     pub deadline: Instant,
 }
 
-/// The body of a request.
+/// The body of a client's request.
 pub enum RequestBody {
-    /// Complete, in memory reserved for as long as the request lives.
+    /// Completely received; its memory stays reserved until the request is dropped.
     Buffered {
-        /// All of it.
+        /// The complete body.
         bytes: Bytes,
-        /// Releases the memory when it is dropped.
+        /// Releases the memory on drop.
         _reservation: MemoryReservation,
     },
-    /// Forwarded while it arrives.
+    /// Forwarded to the server while it is being received.
     Streamed(Rc<RequestBodyStream>),
 }
 
 impl ClientRequest {
-    /// Its body, if that is forwarded while it arrives.
+    /// The body, if it is streamed.
     pub fn streamed_body(&self) -> Option<&Rc<RequestBodyStream>> {
         match &self.body {
             RequestBody::Buffered { .. } => None,
@@ -67,12 +67,12 @@
         }
     }
 
-    /// How long its client waits.
+    /// How long after `arrived_at` the response must have begun.
     pub fn response_timeout(&self) -> Duration {
         self.deadline.saturating_duration_since(self.arrived_at)
     }
 
-    /// The request for a server: unchanged, with the time that the agent will wait.
+    /// Builds the request to a server: the client's request with `timeout` in [`TIMEOUT_HEADER`].
     pub fn build_request(&self, timeout: Duration) -> Request<AttemptBody> {
         let body = match &self.body {
             RequestBody::Buffered { bytes, .. } => AttemptBody::Buffered(Full::new(bytes.clone())),
--- a/agent/src/driver/state.rs
+++ b/agent/src/driver/state.rs
@@ -1,18 +1,18 @@
-//! What events change, in parts that own their state.
+//! The mutable state of the event loop, which the driver borrows while it handles an event.
 
 use super::queue::Queue;
 use super::requests::PendingRequests;
 use super::servers::Servers;
 use crate::upstream::discovery::DiscoveryClient;
 
-/// The event loop's state.
+/// The mutable state of the event loop. Each part owns its own data.
 pub struct State {
     /// The balancer, its events and its timers.
     pub queue: Queue,
-    /// Requests that are owed an answer.
+    /// Requests without a final response yet, and all in-flight attempts.
     pub requests: PendingRequests,
-    /// The endpoint list.
+    /// The known servers and the endpoint list.
     pub servers: Servers,
-    /// The calls to discovery.
+    /// The watch and the fetches of the endpoint list.
     pub discovery: DiscoveryClient,
 }
