--- a/agent/src/driver/attempts.rs
+++ b/agent/src/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! In-flight attempts: which there are, how long each may take, and what of them can still be cancelled.
+//! In-flight attempts: tracking, timeouts and cancellation.
 
 use super::client_request::ClientRequest;
 use crate::traffic::attempt_body::AttemptBody;
@@ -12,45 +12,47 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// Turns of the runtime from an answer at a socket to the attempt that waits for it, and some to spare.
+/// How often a timed-out task yields to the runtime, so that a response that is already in the socket buffer still
+/// reaches the attempt that waits for it. Includes a margin.
 pub const RESPONSE_DELIVERY_TURNS: u32 = 8;
 
-/// Names one attempt of all.
+/// Identifies an attempt among those of all requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct AttemptId {
-    /// The request that it is made for.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its place among the attempts of that request, from 0.
+    /// The index among the attempts of that request, from 0.
     pub number: AttemptNo,
 }
 
-/// The in-flight attempts. One may outlive its request.
+/// The in-flight attempts. An attempt can outlive its request.
 #[derive(Default)]
 pub struct InFlightAttempts(HashMap<AttemptId, Rc<AttemptProgress>>);
 
 impl InFlightAttempts {
-    /// Adds an attempt; its progress is for the task that makes it.
+    /// Adds an attempt and returns its progress, which is shared with the task that runs the attempt.
     pub fn begin(&mut self, id: AttemptId) -> Rc<AttemptProgress> {
         let progress = Rc::new(AttemptProgress::default());
         self.0.insert(id, progress.clone());
         progress
     }
 
-    /// Removes an attempt that has ended.
+    /// Removes a finished attempt.
     pub fn end(&mut self, id: AttemptId) {
         self.0.remove(&id);
     }
 
-    /// Cancels an attempt if it is in flight. What of it has not been written stays unwritten.
+    /// Cancels an attempt if it is in flight; the part of its request that is not yet written is never written.
     pub fn cancel(&self, id: AttemptId) {
         if let Some(progress) = self.0.get(&id) {
             progress.cancel();
         }
     }
 
-    /// Cancels those of a request's first `attempts` that cannot have been executed, as they are not written completely.
-    pub fn cancel_unwritten(&self, request: RequestId, attempts: u32) {
-        for number in 0..attempts {
+    /// Cancels those of a request's `attempt_count` attempts that are not completely written: the server cannot have
+    /// executed them.
+    pub fn cancel_unwritten(&self, request: RequestId, attempt_count: u32) {
+        for number in 0..attempt_count {
             let id = AttemptId { request, number: AttemptNo(number) };
             if let Some(progress) = self.0.get(&id).filter(|progress| !progress.may_have_executed()) {
                 progress.cancel();
@@ -59,48 +61,51 @@
     }
 }
 
-/// How long an attempt may take. One with a streamed body is timed from the body's last byte, by what its client said.
-pub struct AttemptTime {
-    sent: Instant,
+/// The timeout of an attempt and the start of its latency measurement. With a streamed body, both count from the body's
+/// last byte, and the timeout is the request's response timeout.
+pub struct AttemptTiming {
+    started_at: Instant,
     timeout_at: Instant,
-    upload: Option<Rc<RequestBodyStream>>,
+    streamed_body: Option<Rc<RequestBodyStream>>,
     response_timeout: Duration,
 }
 
-impl AttemptTime {
-    /// The time of an attempt that is sent now; `timeout_at` holds for one whose body is not streamed.
+impl AttemptTiming {
+    /// The timing of an attempt that starts now. `timeout_at` is ignored if the body is streamed.
     pub fn start(client_request: &ClientRequest, timeout_at: Instant) -> Self {
-        let upload = client_request.streamed_body().cloned();
-        AttemptTime {
-            sent: Instant::now(),
+        let streamed_body = client_request.streamed_body().cloned();
+        AttemptTiming {
+            started_at: Instant::now(),
             timeout_at,
-            upload,
+            streamed_body,
             response_timeout: client_request.response_timeout(),
         }
     }
 
-    /// Returns once the attempt has timed out, and an answer that is at the socket by then has been read.
+    /// Waits until the attempt has timed out, then yields so that a response that is already in the socket buffer is
+    /// still read.
     pub async fn wait_for_timeout(&self) {
-        match &self.upload {
+        match &self.streamed_body {
             None => sleep_until(self.timeout_at).await,
-            Some(upload) => upload.wait_for_attempt_timeout(self.response_timeout).await,
+            Some(streamed_body) => streamed_body.wait_for_attempt_timeout(self.response_timeout).await,
         }
         yield_turns(RESPONSE_DELIVERY_TURNS).await;
     }
 
-    /// What the server is sent, with the time that the attempt has left at `now`: its connection may have taken a good
-    /// part of the wait to be established.
+    /// Builds the request to the server. The timeout in it is the time left at `now`, because establishing the
+    /// connection can take a good part of it.
     pub fn build_request(&self, client_request: &ClientRequest, now: Instant) -> Request<AttemptBody> {
-        let time_left = match &self.upload {
+        let time_left = match &self.streamed_body {
             None => self.timeout_at.saturating_duration_since(now),
-            Some(upload) => self.response_timeout.saturating_sub(upload.unread_time()),
+            Some(streamed_body) => self.response_timeout.saturating_sub(streamed_body.unread_time()),
         };
         client_request.build_request(time_left)
     }
 
-    /// From when the attempt's duration counts: when it was sent, or a streamed body's last byte if that came later.
+    /// The start of the latency measurement: when the attempt started, or a streamed body's last byte if that came
+    /// later.
     pub fn measured_from(&self) -> Instant {
-        let complete_at = self.upload.as_ref().and_then(|upload| upload.completed_at());
-        complete_at.map_or(self.sent, |complete_at| complete_at.max(self.sent))
+        let completed_at = self.streamed_body.as_ref().and_then(|streamed_body| streamed_body.completed_at());
+        completed_at.map_or(self.started_at, |completed_at| completed_at.max(self.started_at))
     }
 }
--- a/agent/src/driver/endpoint_updates.rs
+++ b/agent/src/driver/endpoint_updates.rs
@@ -1,4 +1,5 @@
-//! Applies what discovery reports to the known servers, in bounded steps, and words it as an update for the balancer.
+//! Applies discovery events to the known servers in bounded steps and converts them to endpoint updates for the
+//! balancer.
 
 use super::servers::Servers;
 use crate::metrics::Metrics;
@@ -7,12 +8,13 @@
 use balancer::EndpointUpdate;
 use balancer_settings::Names;
 
-/// What follows from one discovery event.
+/// The result of applying one discovery event.
 #[derive(Default)]
 pub struct AppliedEvent {
-    /// What the balancer is to be notified of; none if it knows as much already.
+    /// The update for the balancer; `None` if nothing has changed for it.
     pub update: Option<EndpointUpdate>,
-    /// Another step is due: the event is applied by [`DiscoveryEvent::Continue`], once requests have had their turn.
+    /// Whether more of the response remains to be applied. [`DiscoveryEvent::Continue`] follows for it after requests
+    /// have had time to run.
     pub has_more: bool,
 }
 
@@ -22,26 +24,26 @@
     }
 }
 
-/// Applies a discovery event to the known servers and the connections to them.
+/// Applies a discovery event to the known servers and to the endpoints of the upstream client.
 pub fn apply_discovery_event(
     event: DiscoveryEvent,
     servers: &mut Servers,
     names: &Names,
     upstream: &UpstreamClient,
 ) -> AppliedEvent {
-    let describe = |server, host: &_| upstream.update_endpoint(server, host);
+    let on_change = |server, host: &_| upstream.update_endpoint(server, host);
     match event {
         DiscoveryEvent::CallStarted => {
-            servers.begin_answer();
+            servers.begin_response();
             AppliedEvent::default()
         }
         DiscoveryEvent::Entries(entries) => {
-            let endpoints = servers.apply_entries(entries, names, describe);
+            let endpoints = servers.apply_entries(entries, names, on_change);
             let update = (!endpoints.is_empty()).then_some(EndpointUpdate::Partial(endpoints));
             AppliedEvent { update, has_more: false }
         }
         DiscoveryEvent::Complete(envelope) => {
-            servers.end_answer(envelope);
+            servers.end_response(envelope);
             apply_step(servers, names, upstream)
         }
         DiscoveryEvent::Continue => apply_step(servers, names, upstream),
@@ -50,7 +52,7 @@
     }
 }
 
-/// Applies the next [`MAX_ENTRIES_PER_STEP`] servers of a complete answer.
+/// Applies up to [`MAX_ENTRIES_PER_STEP`] more additions and removals of a complete response.
 fn apply_step(servers: &mut Servers, names: &Names, upstream: &UpstreamClient) -> AppliedEvent {
     let step = servers
         .apply_step(MAX_ENTRIES_PER_STEP, names, |server, host| upstream.update_endpoint(server, host));
@@ -61,8 +63,8 @@
     }
 }
 
-/// Forgets the servers that were removed from the endpoint list long ago, and the connections to them. The attempts at
-/// them still count for their zones.
+/// Forgets the oldest servers removed from the endpoint list, beyond the number that is remembered, and their endpoints
+/// in the upstream client. Their attempt counts are added to those of their zones.
 pub fn forget_removed_servers(servers: &mut Servers, upstream: &UpstreamClient, metrics: &Metrics) {
     while let Some(forgotten) = servers.forget_oldest_removed() {
         upstream.remove_endpoint(forgotten.server);
--- a/agent/src/driver/known_server.rs
+++ b/agent/src/driver/known_server.rs
@@ -1,50 +1,50 @@
-//! A known server: its name, and its last entry of the endpoint list in the balancer's terms.
+//! A known server: its name and its last valid entry of the endpoint list, converted to the balancer's types.
 
 use crate::endpoint_list::{Health, Host};
 use balancer::{CellId, Endpoint, KindId, ServerId, Status, Time, ZoneId};
 use balancer_settings::{fnv1a, Names};
 use std::net::SocketAddr;
 
-/// An entry of the endpoint list that could be read.
+/// A valid entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListedServer {
-    /// What the balancer is notified of.
+    /// The entry as the balancer gets it.
     pub endpoint: Endpoint,
-    /// Where this agent connects to it.
+    /// The address that this agent connects to; a removed server may have none.
     pub address: Option<SocketAddr>,
-    /// When the server process has started by the list, in Unix milliseconds; 0 for long ago.
+    /// When the server process started according to the list, in Unix milliseconds; 0 means long ago.
     pub born_ms: f64,
 }
 
 impl ListedServer {
-    /// Whether it is no longer a part of the service.
+    /// Whether the entry removes the server.
     fn is_removed(&self) -> bool {
         self.endpoint.status == Status::Gone
     }
 }
 
-/// A server that has a number.
+/// A server that has been assigned an id.
 pub struct KnownServer {
-    /// Its name, the same at every agent.
+    /// The server's name, the same at every agent.
     pub name: String,
-    /// Its last entry that could be read.
+    /// The last valid entry; `None` if the server has never been listed.
     pub listed: Option<ListedServer>,
-    /// The number of the last answer that named it.
-    pub last_answer: u64,
+    /// The number of the last discovery response that named the server.
+    pub last_response: u64,
 }
 
 impl KnownServer {
-    /// Whether its last entry has removed it.
+    /// Whether the last entry removes the server.
     pub fn is_removed(&self) -> bool {
         self.listed.as_ref().is_some_and(ListedServer::is_removed)
     }
 
-    /// Whether its last entry says that it serves or drains.
+    /// Whether the last entry lists the server as serving or draining.
     pub fn is_present(&self) -> bool {
         self.listed.as_ref().is_some_and(|listed| !listed.is_removed())
     }
 
-    /// Removes the server; the entry that says so, none if it has never been listed.
+    /// Marks the server as removed and returns an entry that says so, or `None` if it has never been listed.
     pub fn remove(&mut self) -> Option<Host> {
         let listed = self.listed.as_mut()?;
         listed.endpoint.status = Status::Gone;
@@ -61,12 +61,12 @@
     }
 }
 
-/// An entry in the balancer's terms; `started` is when its server has started, in the balancer's time.
-pub fn endpoint(server: ServerId, host: &Host, names: &Names, started: Option<Time>) -> Endpoint {
+/// Converts an entry to the balancer's type. `started` is the start of the server process in the balancer's time.
+pub fn to_endpoint(server: ServerId, host: &Host, names: &Names, started: Option<Time>) -> Endpoint {
     Endpoint {
         server,
-        zone: ZoneId(number_of(&host.zone, &names.zones)),
-        kind: KindId(number_of(&host.kind, &names.kinds)),
+        zone: ZoneId(index_or_hash(&host.zone, &names.zones)),
+        kind: KindId(index_or_hash(&host.kind, &names.kinds)),
         cell: CellId(host.cell),
         status: match host.health {
             Health::Up => Status::Serving,
@@ -78,13 +78,14 @@
     }
 }
 
-/// A start time of the list; none for 0, which is long ago.
-pub fn unix_time(born_ms: f64) -> Option<Time> {
+/// Converts a start time of the list to Unix time; `None` for 0, which means long ago.
+pub fn start_unix_time(born_ms: f64) -> Option<Time> {
     (born_ms > 0.0).then(|| Time::from_ms(born_ms))
 }
 
-/// A name's index in the settings. One that they lack gets a number past them, so that no two zones pass for one.
-pub fn number_of(name: &str, names: &[String]) -> u32 {
+/// The index of `name` in `names`, a list of the settings. A name that is not there gets an index past the end from its
+/// hash, so that two zones that the settings lack are not taken for one.
+pub fn index_or_hash(name: &str, names: &[String]) -> u32 {
     let index = names.iter().position(|known| known == name);
     index.unwrap_or_else(|| names.len() + (fnv1a(name) as u32 >> 1) as usize) as u32
 }
--- a/agent/src/driver/mod.rs
+++ b/agent/src/driver/mod.rs
@@ -1,9 +1,9 @@
-//! The event loop that owns the [`Balancer`]: it hands it what happens on the sockets and carries out what it decides.
+//! The event loop around the [`Balancer`]: passes it events from the sockets and executes the actions that it returns.
 //!
-//! Nothing is decided here. Everything runs on one thread, so an event is handled, and its actions are carried out,
-//! before anything else happens; an action never enters the balancer again, it queues an event. Each part beside this
-//! file owns its own state: the queue has the balancer and its timers, `servers` the endpoint list, `requests` the
-//! pending requests. [`Driver`] connects them.
+//! No decisions are made here. Everything runs on one thread, so an event is handled and its actions are executed
+//! before the next event. Executing an action never calls the balancer; it can only queue another event. Each
+//! submodule owns its state: `queue` the balancer and its timers, `servers` the endpoint list, `requests` the pending
+//! requests. [`Driver`] connects them.
 
 mod attempts;
 pub mod client_request;
@@ -25,7 +25,7 @@
 use crate::upstream::discovery::{DiscoveryClient, DiscoveryEvent, Listener};
 use crate::upstream::exchange::ExchangeResult;
 pub use attempts::RESPONSE_DELIVERY_TURNS;
-use attempts::{AttemptId, AttemptTime};
+use attempts::{AttemptId, AttemptTiming};
 use balancer::{
     Action, Balancer, EndpointUpdate, Event, Idempotency, RequestId, ServerId, SettingsError, Snapshot, Span,
     Time, ZoneId,
@@ -35,7 +35,7 @@
 use clock::{Clock, WallClock};
 use endpoint_updates::{apply_discovery_event, forget_removed_servers};
 use hyper::StatusCode;
-use known_server::number_of;
+use known_server::index_or_hash;
 use queue::Queue;
 use requests::{FinalResponse, NewAttempt, PendingRequest, PendingRequests, ServerLabel};
 use servers::Servers;
@@ -49,36 +49,36 @@
 use tokio::time::Instant;
 use view::View;
 
-/// Idle connections are evicted, and the wall clock is checked, this often.
+/// How often idle connections are evicted, the wall clock is checked and due metrics are logged.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The event loop.
+/// Runs the event loop and gives the rest of the agent access to the balancer.
 pub struct Driver {
-    /// The balancer's clock.
+    /// The clock of the balancer's time.
     pub clock: Clock,
     wall_clock: Rc<WallClock>,
-    /// The names of the settings.
+    /// The names in the settings, by which ids are looked up, and the connection timeouts.
     pub names: Names,
-    /// Whether requests of a class are idempotent, by the class's number.
+    /// Whether requests of a class are idempotent, indexed by class id.
     pub idempotency: Vec<Idempotency>,
-    /// Clients are being accepted.
+    /// Whether this process accepts client connections.
     pub is_accepting: Cell<bool>,
     metrics: Rc<Metrics>,
-    /// The memory that bodies may take.
+    /// The memory budget for request and response bodies.
     pub memory_budget: Rc<MemoryBudget>,
     upstream: Rc<UpstreamClient>,
     state: RefCell<State>,
-    wake: Notify,
+    timer_changed: Notify,
 }
 
 impl Driver {
-    /// An event loop with the endpoint list of the configuration, for at most `connections` connections to servers.
-    /// [`Driver::run`] has to be called for its timers.
+    /// Creates the event loop with the configured endpoint list and at most `max_connections` connections to servers.
+    /// Timers fire only while [`Driver::run`] runs.
     ///
     /// # Errors
     ///
-    /// The balancer does not accept the settings.
-    pub fn start(config: Config, connections: usize) -> Result<Rc<Self>, SettingsError> {
+    /// The balancer rejects the settings.
+    pub fn start(config: Config, max_connections: usize) -> Result<Rc<Self>, SettingsError> {
         let clock = Clock::start();
         let wall_clock = Rc::new(WallClock::new(clock));
         let idempotency = config.settings.classes.iter().map(|class| class.idempotency).collect();
@@ -86,7 +86,7 @@
         let memory_budget = Rc::new(MemoryBudget::for_process(config.memory_mb, config.is_memory_shared));
         let connect_timeout = Duration::from_micros(config.names.connect_timeout.0);
         let upstream = Rc::new(UpstreamClient::new(
-            connections,
+            max_connections,
             metrics.clone(),
             memory_budget.clone(),
             connect_timeout,
@@ -97,16 +97,16 @@
         let mut balancer = Balancer::new(config.settings, config.seed)?;
         let mut actions = Vec::new();
         balancer.start(clock.now(), &mut actions);
-        // Where changes are pushed the balancer never polls for them; on sockets a watch is what brings them.
+        // With pushed discovery the balancer never polls, and over sockets only a watch delivers the changes.
         actions.extend(is_pushed.then_some(Action::Watch { active: true }));
         let mut servers = Servers::new(config.max_servers, wall_clock.clone());
-        let describe = |server, host: &_| upstream.update_endpoint(server, host);
-        let endpoints = servers.apply_list(config.endpoint_list, &config.names, describe);
+        let on_change = |server, host: &_| upstream.update_endpoint(server, host);
+        let endpoints = servers.apply_list(config.endpoint_list, &config.names, on_change);
         let mut queue = Queue::new(balancer, clock);
         queue.push(Event::Endpoints(EndpointUpdate::Saved(endpoints)));
         let state = State {
             queue,
-            requests: PendingRequests::new(Log::new(clock.origin)),
+            requests: PendingRequests::new(Log::new(clock.started_at)),
             servers,
             discovery: DiscoveryClient::new(config.discovery, connect_timeout, config.max_servers),
         };
@@ -120,16 +120,16 @@
             memory_budget,
             upstream,
             state: RefCell::new(state),
-            wake: Notify::new(),
+            timer_changed: Notify::new(),
         });
         for action in actions {
-            driver.carry_out(&mut driver.state.borrow_mut(), action);
+            driver.execute_action(&mut driver.state.borrow_mut(), action);
         }
         driver.dispatch_events();
         Ok(driver)
     }
 
-    /// Hands due timers to the balancer and does the periodic maintenance; never ends.
+    /// Fires due timers and does the periodic maintenance. Never returns.
     pub async fn run(self: Rc<Self>) {
         let mut maintenance_at = Instant::now() + MAINTENANCE_INTERVAL;
         loop {
@@ -137,7 +137,7 @@
             let until = next_due.map_or(maintenance_at, |at| at.min(maintenance_at));
             tokio::select! {
                 () = tokio::time::sleep_until(until) => {}
-                () = self.wake.notified() => {}
+                () = self.timer_changed.notified() => {}
             }
             self.state.borrow_mut().queue.fire_due_timers();
             self.dispatch_events();
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Logs the metrics of the last seconds when they are due, with the balancer's summary of its servers.
+    /// Logs the counts since the last such line, if they are due, with the balancer's summary of its servers.
     fn log_metrics(&self) {
         let mut state = self.state.borrow_mut();
         if let Some(counts) = state.requests.log.counts.take_due(Instant::now(), &self.metrics) {
@@ -158,24 +158,24 @@
         }
     }
 
-    /// Queues an event and dispatches all that are queued.
+    /// Queues an event and dispatches all queued events.
     fn handle(self: &Rc<Self>, event: Event) {
         self.state.borrow_mut().queue.push(event);
         self.dispatch_events();
     }
 
-    /// Hands the queued events to the balancer and carries out its actions, until none are left.
+    /// Hands queued events to the balancer and executes the resulting actions until the queue is empty.
     fn dispatch_events(self: &Rc<Self>) {
         let mut state = self.state.borrow_mut();
         while let Some(mut actions) = state.queue.next() {
             for action in actions.drain(..) {
-                self.carry_out(&mut state, action);
+                self.execute_action(&mut state, action);
             }
             state.queue.recycle(actions);
         }
     }
 
-    fn carry_out(self: &Rc<Self>, state: &mut State, action: Action) {
+    fn execute_action(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
             Action::Send { request, server, timeout_at } => {
                 self.send_attempt(state, request, server, timeout_at);
@@ -189,7 +189,7 @@
             Action::Fail { request } => state.requests.fail(request, &self.names),
             Action::SetTimer { at, timer } => {
                 if state.queue.set_timer(at, timer) {
-                    self.wake.notify_one();
+                    self.timer_changed.notify_one();
                 }
             }
             Action::HealthCheck { server } => self.check_health(server),
@@ -198,20 +198,20 @@
                 state.discovery.set_watch(&self.discovery_listener(), active, state.servers.version);
             }
             Action::FetchEndpoints => state.discovery.fetch(&self.discovery_listener()),
-            // Agents of this deployment have no way to talk to each other, and the settings say so.
+            // Agents of this deployment cannot communicate, and the settings say so.
             Action::Gossip { .. } => {}
             Action::Log { server, zone, text } => state.servers.log_decision(server, zone, &text),
         }
     }
 
-    // Requests and their attempts.
+    // Requests and attempts.
 
-    /// Hands a request to the balancer; its answer comes over the channel.
+    /// Hands a request to the balancer and returns the receiver of the final response.
     pub fn submit(
         self: &Rc<Self>,
         client_request: ClientRequest,
     ) -> (RequestId, oneshot::Receiver<FinalResponse>) {
-        let (answer, receiver) = oneshot::channel();
+        let (response_sender, receiver) = oneshot::channel();
         let id = self.state.borrow_mut().requests.next_id();
         let request = balancer::Request {
             id,
@@ -220,7 +220,7 @@
             affinity_key: client_request.affinity_key,
             cost_hint: client_request.cost_hint,
             is_retry: client_request.is_retry,
-            time_left: self.clock.at(client_request.deadline).since(self.clock.now()),
+            time_left: self.clock.time_at(client_request.deadline).since(self.clock.now()),
             uploading: client_request.streamed_body().is_some(),
         };
         let metrics = match client_request.streamed_body() {
@@ -231,13 +231,13 @@
                 self.metrics.begin_upload(client_request.class.0)
             }
         };
-        let pending = PendingRequest::new(Rc::new(client_request), answer, metrics);
+        let pending = PendingRequest::new(Rc::new(client_request), response_sender, metrics);
         self.state.borrow_mut().requests.insert(id, pending);
         self.handle(Event::Request(request));
         (id, receiver)
     }
 
-    /// The streamed body of a request has progressed.
+    /// Notifies the balancer of the progress of a request's streamed body.
     fn record_body_progress(self: &Rc<Self>, id: RequestId, body_event: BodyEvent) {
         let event = self.state.borrow_mut().requests.record_body_progress(id, body_event);
         if let Some(event) = event {
@@ -245,8 +245,9 @@
         }
     }
 
-    /// Gives a request up whose client has disconnected, or must not wait longer. Attempts that are written completely
-    /// go on, and their outcomes still count; what has not been written stays unwritten.
+    /// Ends a pending request without a final response because its client has disconnected or its time is up.
+    /// Completely written attempts continue, and their outcomes still count. The others are cancelled without writing
+    /// more.
     pub fn abandon(self: &Rc<Self>, id: RequestId) {
         let was_pending = self.state.borrow_mut().requests.abandon(id, &self.names);
         if was_pending {
@@ -254,7 +255,7 @@
         }
     }
 
-    /// Counts and logs a request that was invalid and has been answered so with this status.
+    /// Counts and logs an invalid request that was answered with `status`.
     pub fn record_invalid_request(&self, request: &str, status: StatusCode, reason: &str) {
         self.metrics.record_invalid_request();
         self.state.borrow_mut().requests.log_invalid(request, status, reason);
@@ -269,78 +270,78 @@
     ) {
         let Some(attempt) = state.requests.begin_attempt(request) else { return };
         let NewAttempt { id, client_request, progress } = attempt;
-        let time = AttemptTime::start(&client_request, self.clock.instant(timeout_at));
+        let timing = AttemptTiming::start(&client_request, self.clock.instant_at(timeout_at));
         let driver = self.clone();
         tokio::task::spawn_local(async move {
-            let begin = || {
+            let build_request = || {
                 let now = Instant::now();
-                driver.may_begin(id, now).then(|| time.build_request(&client_request, now))
+                driver.may_begin(id, now).then(|| timing.build_request(&client_request, now))
             };
-            let timeout = time.wait_for_timeout();
-            let ended = driver
+            let timeout = timing.wait_for_timeout();
+            let result = driver
                 .upstream
-                .send_attempt(server, begin, client_request.streamed_body(), timeout, &progress)
+                .send_attempt(server, build_request, client_request.streamed_body(), timeout, &progress)
                 .await;
-            driver.finish_attempt(id, server, ended, time.measured_from().elapsed());
+            driver.finish_attempt(id, server, result, timing.measured_from().elapsed());
         });
     }
 
-    /// Whether the balancer still wants an attempt whose connection is established.
+    /// Whether an attempt may still begin now that its connection is established.
     fn may_begin(&self, id: AttemptId, now: Instant) -> bool {
         let balancer = &self.state.borrow().queue.balancer;
-        balancer.may_begin(self.clock.at(now), id.request, id.number)
+        balancer.may_begin(self.clock.time_at(now), id.request, id.number)
     }
 
-    /// Reports how an attempt has ended. The first one that is served answers its request.
+    /// Reports the outcome of an attempt to the balancer. The first served attempt of a request ends the request.
     fn finish_attempt(
         self: &Rc<Self>,
         id: AttemptId,
         server: ServerId,
-        ended: ExchangeResult,
+        result: ExchangeResult,
         elapsed: Duration,
     ) {
         let elapsed = Span(elapsed.as_micros() as u64);
-        let is_body_broken = self.state.borrow().requests.is_body_broken(id.request);
-        if is_body_broken {
-            // What its client has not sent completely is no request, and there is nothing to decide any more.
+        let has_body_failed = self.state.borrow().requests.has_body_failed(id.request);
+        if has_body_failed {
+            // The client's request is incomplete, so there is nothing to retry.
             self.abandon(id.request);
         }
-        self.metrics.record_attempt(server, ended.outcome);
-        let is_closed = {
+        self.metrics.record_attempt(server, result.outcome);
+        let is_finished = {
             let State { requests, servers, .. } = &mut *self.state.borrow_mut();
             requests.attempts.end(id);
             let label = ServerLabel { name: servers.name(server), zone: servers.zone(server) };
-            if let Some(served) = ended.response {
+            if let Some(served) = result.response {
                 let driver = self.clone();
                 let on_abort = move || driver.record_aborted_response(server);
                 requests.serve(id.request, served, on_abort, &self.names, label);
             }
-            let is_closed = !requests.is_pending(id.request);
-            if !is_closed {
+            let is_finished = !requests.is_pending(id.request);
+            if !is_finished {
                 let attempt = FailedAttempt {
                     server: label.name.to_owned(),
                     zone: label.zone.to_owned(),
-                    outcome: ended.outcome,
-                    status: ended.status,
-                    connection_idle: ended.connection_idle,
-                    error: ended.error.map(|error| error.to_string()),
+                    outcome: result.outcome,
+                    status: result.status,
+                    connection_idle: result.connection_idle,
+                    error: result.error.map(|error| error.to_string()),
                     elapsed,
                 };
                 requests.record_failed_attempt(id.request, attempt);
             }
-            is_closed
+            is_finished
         };
         self.handle(Event::Outcome {
             request: id.request,
             attempt: id.number,
-            outcome: ended.outcome,
+            outcome: result.outcome,
             elapsed,
-            report: ended.load_report,
-            request_finished: is_closed,
+            report: result.load_report,
+            request_finished: is_finished,
         });
     }
 
-    /// An answer that was being forwarded has broken off.
+    /// Logs and reports that a response was aborted while it was being forwarded.
     fn record_aborted_response(self: &Rc<Self>, server: ServerId) {
         {
             let State { requests, servers, .. } = &mut *self.state.borrow_mut();
@@ -355,10 +356,10 @@
     fn check_health(self: &Rc<Self>, server: ServerId) {
         let driver = self.clone();
         tokio::task::spawn_local(async move {
-            let sent = Instant::now();
+            let sent_at = Instant::now();
             let ExchangeResult { outcome, load_report: report, .. } =
                 driver.upstream.check_health(server).await;
-            let elapsed = Span(sent.elapsed().as_micros() as u64);
+            let elapsed = Span(sent_at.elapsed().as_micros() as u64);
             driver.handle(Event::HealthChecked { server, outcome, elapsed, report });
         });
     }
@@ -370,7 +371,8 @@
         Rc::new(move |event| driver.handle_discovery_event(event))
     }
 
-    /// Applies a watch event; whether another step of it is due once requests have had their turn.
+    /// Applies a discovery event. Returns whether more of the response remains to be applied after requests have had
+    /// time to run.
     fn handle_discovery_event(self: &Rc<Self>, event: DiscoveryEvent) -> bool {
         self.wall_clock.check();
         let applied =
@@ -381,75 +383,75 @@
         applied.has_more
     }
 
-    /// Discovery is at another address from now on.
+    /// Switches to another discovery address.
     pub fn set_discovery_address(self: &Rc<Self>, address: SocketAddr) {
         let mut state = self.state.borrow_mut();
-        // Nothing says that both count versions alike.
+        // The two addresses need not share one sequence of versions.
         state.servers.version = None;
         state.discovery.change_address(&self.discovery_listener(), address);
     }
 
-    // Operator commands, and what another process knows.
+    // Operator commands and state from other processes.
 
-    /// Cordons a server for the operators, or uncordons it as one that was cordoned until `at`.
+    /// Applies an operator command that cordons a server, or uncordons it as of `at`.
     pub fn set_cordoned(self: &Rc<Self>, name: &str, is_cordoned: bool, at: Time) {
         let server = self.state.borrow_mut().servers.intern_for_operator(name);
-        // One that another process has seen cordoned and uncordoned starts as slowly here.
+        // Another process may have received both commands: cordoning first makes the server warm up here as well.
         self.handle(Event::Cordon { server });
         if !is_cordoned {
             self.handle(Event::Uncordon { server, at });
         }
     }
 
-    /// Evacuates a zone for the operators, or restores one that was evacuated until `at`.
+    /// Applies an operator command that evacuates a zone, or restores it as of `at`.
     pub fn set_zone_evacuated(self: &Rc<Self>, name: &str, is_evacuated: bool, at: Time) {
-        let zone = ZoneId(number_of(name, &self.names.zones));
-        // As with a cordon: one that another process has seen evacuated and restored recovers as slowly here.
+        let zone = ZoneId(index_or_hash(name, &self.names.zones));
+        // As with a cordon: evacuating first makes the zone's servers warm up here as well.
         self.handle(Event::EvacuateZone { zone });
         if !is_evacuated {
             self.handle(Event::RestoreZone { zone, at });
         }
     }
 
-    /// Sets the zones of each region.
+    /// Sets the regions, given as zone names by region name.
     pub fn set_regions(self: &Rc<Self>, regions: &BTreeMap<String, Vec<String>>) {
-        let zone_id = |zone: &String| ZoneId(number_of(zone, &self.names.zones));
+        let zone_id = |zone: &String| ZoneId(index_or_hash(zone, &self.names.zones));
         let numbered = regions.values().zip(0..);
         let region_by_zone =
             numbered.flat_map(|(zones, region)| zones.iter().map(move |zone| (zone_id(zone), region)));
         self.handle(Event::Regions(region_by_zone.collect()));
     }
 
-    /// Restores what another process has learned of the server processes that this one knows.
+    /// Restores another process's snapshot, limited to the server processes that this process knows.
     pub fn restore(self: &Rc<Self>, snapshot: Snapshot) {
         let applicable = self.view().applicable_snapshot(snapshot);
         self.handle(Event::Restore(applicable));
     }
 
-    /// The balancer's time at which the wall clock of this machine has read this.
+    /// Converts a reading of this machine's wall clock to the balancer's time.
     pub fn time_of_wall_clock(&self, reading: Time) -> Time {
         self.wall_clock.check();
-        self.wall_clock.time(reading)
+        self.wall_clock.convert(reading)
     }
 
-    // What the admin API reads.
+    // Queries for the admin API and for snapshots.
 
-    /// Whether there is a server to send to.
+    /// Whether any server accepts requests.
     pub fn is_ready(&self) -> bool {
         self.state.borrow().servers.has_serving()
     }
 
-    /// Whether this process accepts clients and can serve them.
+    /// Whether this process accepts client connections and any server accepts requests.
     pub fn is_serving(&self) -> bool {
         self.is_accepting.get() && self.is_ready()
     }
 
-    /// All counts since the start.
+    /// All counts since the process started.
     pub fn counts(&self) -> Counts {
         self.metrics.counts()
     }
 
-    /// What the balancer knows now, by name. Nothing can happen while this is held.
+    /// A view of the current state. No event can be handled while it exists.
     pub fn view(&self) -> View<'_> {
         View::new(self.state.borrow(), &self.names, &self.metrics, self.clock.now())
     }
--- a/agent/src/driver/queue.rs
+++ b/agent/src/driver/queue.rs
@@ -1,4 +1,4 @@
-//! The [`Balancer`] with its queue of events, in the order in which they happened, and its timers.
+//! The [`Balancer`] with its timers and its event queue, which keeps the order in which events happened.
 
 use super::clock::Clock;
 use balancer::{Action, Balancer, Event, Time, TimerId};
@@ -6,20 +6,20 @@
 use std::collections::{BinaryHeap, VecDeque};
 use tokio::time::Instant;
 
-/// The balancer, the events that it has not handled yet, and the timers that it has set.
+/// The balancer, its unhandled events and its pending timers.
 pub struct Queue {
-    /// The balancer, for questions.
+    /// The balancer, public for queries; events reach it only through the queue.
     pub balancer: Balancer,
     clock: Clock,
     events: VecDeque<Event>,
-    /// An empty list whose allocation is used again.
+    /// An empty list, kept to reuse its allocation.
     recycled: Vec<Action>,
-    /// When each timer is due, and its number; the first due first.
+    /// Due time and id of each pending timer, earliest first.
     timers: BinaryHeap<Reverse<(Time, u64)>>,
 }
 
 impl Queue {
-    /// No events and no timers.
+    /// Creates a queue without events and timers.
     pub fn new(balancer: Balancer, clock: Clock) -> Self {
         let (events, recycled, timers) = Default::default();
         Queue { balancer, clock, events, recycled, timers }
@@ -30,8 +30,8 @@
         self.events.push_back(event);
     }
 
-    /// Hands the next event to the balancer; the actions that follow from it, none if no event is queued. The list goes
-    /// back to [`Queue::recycle`].
+    /// Hands the next event to the balancer and returns the resulting actions, or `None` if no event is queued. The
+    /// caller returns the emptied list to [`Queue::recycle`].
     pub fn next(&mut self) -> Option<Vec<Action>> {
         let event = self.events.pop_front()?;
         let mut actions = std::mem::take(&mut self.recycled);
@@ -39,24 +39,24 @@
         Some(actions)
     }
 
-    /// Takes an emptied list back, whose allocation the next event uses.
+    /// Takes back an emptied list of actions, so that the next event reuses its allocation.
     pub fn recycle(&mut self, actions: Vec<Action>) {
         self.recycled = actions;
     }
 
-    /// Sets a timer; whether it is the first one due.
+    /// Sets a timer and returns whether it is now the earliest one.
     pub fn set_timer(&mut self, at: Time, timer: TimerId) -> bool {
-        let is_first = self.timers.peek().is_none_or(|Reverse((next, _))| at < *next);
+        let is_earliest = self.timers.peek().is_none_or(|Reverse((next, _))| at < *next);
         self.timers.push(Reverse((at, timer.0)));
-        is_first
+        is_earliest
     }
 
-    /// When the first timer is due.
+    /// When the earliest timer is due; `None` without timers.
     pub fn next_due(&self) -> Option<Instant> {
-        self.timers.peek().map(|Reverse((at, _))| self.clock.instant(*at))
+        self.timers.peek().map(|Reverse((at, _))| self.clock.instant_at(*at))
     }
 
-    /// Queues the events of the timers that are due.
+    /// Queues an event for each timer that is due and removes these timers.
     pub fn fire_due_timers(&mut self) {
         let now = self.clock.now();
         while let Some(&Reverse((at, timer))) = self.timers.peek() {
--- a/agent/src/driver/requests.rs
+++ b/agent/src/driver/requests.rs
@@ -1,5 +1,6 @@
-//! Pending requests: those that are owed an answer. Each gets one final answer, at which its attempts are cancelled as
-//! far as they are unwritten, its end is counted and, if it did not go well, logged.
+//! Pending requests: those without a final response. A request ends with its final response, or without one when its
+//! client disconnects or its time is up. Its attempts that are not completely written are then cancelled, and the end is
+//! counted in the metrics. It is also logged, unless the request was served without a failed attempt.
 
 use super::attempts::{AttemptId, InFlightAttempts};
 use super::client_request::ClientRequest;
@@ -17,76 +18,78 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The one final answer to a request.
+/// The final response to a request. Each request gets at most one.
 pub enum FinalResponse {
-    /// A server's answer, complete or begun.
+    /// A server's response; its body may still be streaming.
     Served(Box<ServedResponse>),
-    /// Rejected by the balancer; a retry is harmless, and makes sense after this long.
+    /// Rejected by the balancer. The request has not been executed, so a retry is safe; it makes sense after the
+    /// given time.
     Rejected(Option<Span>),
-    /// Failed; it may have been executed.
+    /// Failed with this status. A server may have executed the request.
     Failed(StatusCode),
 }
 
-/// A request that is owed its answer.
+/// A request without a final response yet.
 pub struct PendingRequest {
-    answer: oneshot::Sender<FinalResponse>,
-    /// What the application sent.
+    response_sender: oneshot::Sender<FinalResponse>,
+    /// The request as received from the client.
     pub client_request: Rc<ClientRequest>,
     metrics: RequestMetrics,
     last_attempt_timed_out: bool,
-    /// Attempts without a served answer, for the log.
+    /// Attempts that have ended without a served response, for the log.
     failed_attempts: Vec<FailedAttempt>,
 }
 
 impl PendingRequest {
-    /// A request without attempts whose answer goes to `answer` and whose end is counted by `metrics`.
+    /// A request without attempts. Its final response is sent to `response_sender`, and its end is counted by
+    /// `metrics`.
     pub fn new(
         client_request: Rc<ClientRequest>,
-        answer: oneshot::Sender<FinalResponse>,
+        response_sender: oneshot::Sender<FinalResponse>,
         metrics: RequestMetrics,
     ) -> Self {
         let (last_attempt_timed_out, failed_attempts) = Default::default();
-        PendingRequest { answer, client_request, metrics, last_attempt_timed_out, failed_attempts }
+        PendingRequest { response_sender, client_request, metrics, last_attempt_timed_out, failed_attempts }
     }
 }
 
-/// A server as the log names it.
+/// The names by which log lines identify a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLabel<'a> {
-    /// Its name on the endpoint list.
+    /// The server's name on the endpoint list.
     pub name: &'a str,
-    /// The name of its zone.
+    /// The name of the server's zone.
     pub zone: &'a str,
 }
 
-/// An attempt that has just been added.
+/// What the task that runs a new attempt needs.
 pub struct NewAttempt {
-    /// Its name.
+    /// The attempt's id.
     pub id: AttemptId,
-    /// What the application sent.
+    /// The request as received from the client.
     pub client_request: Rc<ClientRequest>,
-    /// For the task that makes it.
+    /// Shared with [`PendingRequests::attempts`], which cancels the attempt through it.
     pub progress: Rc<AttemptProgress>,
 }
 
-/// All pending requests, and the attempts that are in flight.
+/// All pending requests and all in-flight attempts.
 pub struct PendingRequests {
     next_id: u64,
     pending: HashMap<RequestId, PendingRequest>,
-    /// The attempts that are in flight.
+    /// The in-flight attempts, including those of requests that have already ended.
     pub attempts: InFlightAttempts,
-    /// The log's lines on requests, which are limited.
+    /// The rate limits of log lines.
     pub log: Log,
 }
 
 impl PendingRequests {
-    /// Has none yet.
+    /// Creates the state without requests.
     pub fn new(log: Log) -> Self {
         let (pending, attempts) = Default::default();
         PendingRequests { next_id: 0, pending, attempts, log }
     }
 
-    /// A number for one more.
+    /// Assigns the next request id.
     pub fn next_id(&mut self) -> RequestId {
         self.next_id += 1;
         RequestId(self.next_id - 1)
@@ -97,18 +100,18 @@
         self.pending.insert(id, request);
     }
 
-    /// Whether a request is owed its answer.
+    /// Whether a request has no final response yet.
     pub fn is_pending(&self, id: RequestId) -> bool {
         self.pending.contains_key(&id)
     }
 
-    /// Whether a pending request's streamed body has broken off.
-    pub fn is_body_broken(&self, id: RequestId) -> bool {
+    /// Whether receiving the streamed body of a pending request has failed.
+    pub fn has_body_failed(&self, id: RequestId) -> bool {
         let body = self.pending.get(&id).and_then(|request| request.client_request.streamed_body());
         body.is_some_and(|body| body.has_failed())
     }
 
-    /// Adds an attempt at a request, if that is pending.
+    /// Adds an attempt for a request; `None` if the request is not pending.
     pub fn begin_attempt(&mut self, request: RequestId) -> Option<NewAttempt> {
         let pending = self.pending.get_mut(&request)?;
         let id = AttemptId { request, number: AttemptNo(pending.metrics.attempts) };
@@ -117,56 +120,59 @@
         Some(NewAttempt { id, client_request, progress: self.attempts.begin(id) })
     }
 
-    /// Records an attempt without a served answer for its request, if that is pending.
+    /// Records an attempt that ended without a served response. Ignored if the request is not pending.
     pub fn record_failed_attempt(&mut self, request: RequestId, attempt: FailedAttempt) {
         let Some(pending) = self.pending.get_mut(&request) else { return };
         pending.last_attempt_timed_out = attempt.outcome == balancer::Outcome::TimedOut;
         pending.failed_attempts.push(attempt);
     }
 
-    /// Records the progress of a pending request's streamed body; what the balancer is to be notified of.
+    /// Records the progress of a request's streamed body and returns the event for the balancer; `None` if the
+    /// request is not pending.
     pub fn record_body_progress(&mut self, id: RequestId, body_event: BodyEvent) -> Option<Event> {
         let pending = self.pending.get_mut(&id)?;
         Some(match body_event {
             BodyEvent::Consumed => Event::BodyConsumed { request: id },
             BodyEvent::Complete => {
                 pending.metrics.mark_arrived();
-                let complete_at = pending.client_request.streamed_body().and_then(|body| body.completed_at());
-                let elapsed = complete_at.map_or(Duration::ZERO, |complete_at| complete_at.elapsed());
+                let completed_at =
+                    pending.client_request.streamed_body().and_then(|body| body.completed_at());
+                let elapsed = completed_at.map_or(Duration::ZERO, |completed_at| completed_at.elapsed());
                 let time_left = pending.client_request.response_timeout().saturating_sub(elapsed);
                 Event::BodyComplete { request: id, time_left: Span(time_left.as_micros() as u64) }
             }
         })
     }
 
-    /// Gives a request up as its client has disconnected; whether it was still owed an answer.
+    /// Ends a request without a final response, and returns whether it was still pending.
     pub fn abandon(&mut self, id: RequestId, names: &Names) -> bool {
         let Some(request) = self.remove(id) else { return false };
         self.log_end(&request, RequestEnd::Abandoned, names, None);
         true
     }
 
-    /// Answers a request with the balancer's rejection; a retry makes sense after `retry_after`.
+    /// Rejects a request; the client may retry after `retry_after`.
     pub fn reject(&mut self, id: RequestId, retry_after: Option<Span>, names: &Names) {
-        self.answer(id, FinalResponse::Rejected(retry_after), RequestEnd::Rejected, names);
+        self.respond(id, FinalResponse::Rejected(retry_after), RequestEnd::Rejected, names);
     }
 
-    /// Answers a request with its failure: 504 if its last attempt timed out, otherwise 502.
+    /// Fails a request with status 504 if its last failed attempt timed out, otherwise 502.
     pub fn fail(&mut self, id: RequestId, names: &Names) {
         let timed_out = self.pending.get(&id).is_some_and(|request| request.last_attempt_timed_out);
         let status = if timed_out { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-        self.answer(id, FinalResponse::Failed(status), RequestEnd::Failed, names);
+        self.respond(id, FinalResponse::Failed(status), RequestEnd::Failed, names);
     }
 
-    fn answer(&mut self, id: RequestId, answer: FinalResponse, end: RequestEnd, names: &Names) {
+    fn respond(&mut self, id: RequestId, response: FinalResponse, end: RequestEnd, names: &Names) {
         let Some(request) = self.remove(id) else { return };
         self.log_end(&request, end, names, None);
         request.metrics.end(end);
-        // A client that disconnects at this very moment gets no answer.
-        let _ = request.answer.send(answer);
+        // The receiver may be gone already because the client has just disconnected.
+        let _ = request.response_sender.send(response);
     }
 
-    /// Answers a request by what a server has served. `on_abort` is called if that breaks off on its way to the client.
+    /// Ends a request with a server's response. `on_abort` is called if the response is aborted while it is forwarded
+    /// to the client.
     pub fn serve(
         &mut self,
         id: RequestId,
@@ -178,18 +184,18 @@
         let Some(request) = self.remove(id) else { return };
         self.log_end(&request, RequestEnd::Served, names, Some(server));
         served.body.end_request_with(request.metrics, on_abort);
-        let _ = request.answer.send(FinalResponse::Served(Box::new(served)));
+        let _ = request.response_sender.send(FinalResponse::Served(Box::new(served)));
     }
 
-    /// Removes a request that is about to end; its unwritten attempts are cancelled.
+    /// Removes a request that ends and cancels its attempts that are not completely written.
     fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
         let request = self.pending.remove(&id)?;
         self.attempts.cancel_unwritten(id, request.metrics.attempts);
         Some(request)
     }
 
-    /// Logs a request that did not go well under the application's name for it; `served_by` is the server whose answer
-    /// it got.
+    /// Logs the end of a request within the rate limit, unless it was served without a failed attempt. `served_by` is
+    /// the server whose response the client gets.
     fn log_end(
         &mut self,
         request: &PendingRequest,
@@ -199,7 +205,7 @@
     ) {
         let now = Instant::now();
         let PendingRequest { client_request, metrics, failed_attempts, .. } = request;
-        // One that was served is logged only after an attempt that failed.
+        // A served request is logged only if an attempt failed before.
         if (matches!(end, RequestEnd::Served) && failed_attempts.is_empty())
             || !self.log.request_lines.admit_line(now)
         {
@@ -210,9 +216,9 @@
             None => ServerLabel { name: "", zone: "" },
         });
         let class = names.classes.get(client_request.class.0).map_or("", String::as_str);
-        let took_ms = tenths_of_ms(now.saturating_duration_since(client_request.arrived_at));
-        let of_ms = tenths_of_ms(client_request.response_timeout());
-        macro_rules! line {
+        let took_ms = rounded_ms(now.saturating_duration_since(client_request.arrived_at));
+        let of_ms = rounded_ms(client_request.response_timeout());
+        macro_rules! log_line {
             ($level:ident, $outcome:literal) => {
                 tracing::$level!(
                     target: "request",
@@ -230,14 +236,14 @@
             };
         }
         match end {
-            RequestEnd::Served => line!(info, "served"),
-            RequestEnd::Rejected => line!(warn, "refused"),
-            RequestEnd::Failed => line!(warn, "failed"),
-            RequestEnd::Abandoned => line!(warn, "gone"),
+            RequestEnd::Served => log_line!(info, "served"),
+            RequestEnd::Rejected => log_line!(warn, "refused"),
+            RequestEnd::Failed => log_line!(warn, "failed"),
+            RequestEnd::Abandoned => log_line!(warn, "gone"),
         }
     }
 
-    /// Logs a request that was invalid and has been answered so with this status.
+    /// Logs an invalid request that was answered with `status`.
     pub fn log_invalid(&mut self, request: &str, status: StatusCode, reason: &str) {
         if self.log.request_lines.admit_line(Instant::now()) {
             let status = status.as_u16();
@@ -247,6 +253,6 @@
 }
 
 /// A duration in milliseconds, rounded to tenths.
-fn tenths_of_ms(duration: Duration) -> f64 {
+fn rounded_ms(duration: Duration) -> f64 {
     (duration.as_secs_f64() * 1e4).round() / 10.0
 }
--- a/agent/src/driver/servers.rs
+++ b/agent/src/driver/servers.rs
@@ -1,11 +1,12 @@
-//! The known servers by name and number, and the endpoint list in the balancer's terms.
+//! The known servers by name and id, and the conversion of the endpoint list to the balancer's types.
 //!
-//! An answer of discovery is applied as it arrives, in steps, so that its length delays no request: what it says of
-//! known servers holds at once, those that it adds wait for its end, and those that a complete list does not name are
-//! removed then. An answer that breaks off adds nothing and removes nothing.
+//! A discovery response is applied in steps while it is being received, so that a long list does not delay requests.
+//! Entries of known servers take effect at once. New servers are added only after the end of the response, and then,
+//! if the list is complete, known servers that it does not name are removed. A response that is cut off adds and
+//! removes no servers.
 
 use super::clock::WallClock;
-use super::known_server::{endpoint, unix_time, KnownServer, ListedServer};
+use super::known_server::{start_unix_time, to_endpoint, KnownServer, ListedServer};
 use crate::endpoint_list::{Envelope, Health, Host, InvalidEntry, List};
 use crate::metrics::AttemptCounts;
 use balancer::{Endpoint, ServerId, Status, Time, ZoneId};
@@ -13,69 +14,71 @@
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
-/// Zones past this many are counted as one without a name.
+/// Bounds the zones whose names are remembered. Attempts to servers of further zones are counted under an empty name.
 const MAX_ZONES: usize = 256;
-/// Servers removed from the endpoint list that are remembered: more than a zone of the planned size (830) has.
-const MAX_REMOVED: usize = 1024;
-/// Invalid entries of one answer that are logged one by one.
+/// Bounds the remembered servers that were removed from the endpoint list; more than the 830 servers of a zone of the
+/// planned size.
+const MAX_REMOVED_SERVERS: usize = 1024;
+/// Bounds the invalid entries of one response that are logged individually; the rest are only counted.
 const MAX_LOGGED_INVALID_ENTRIES: usize = 8;
 
-/// An answer of discovery that is being applied.
+/// A discovery response that is being applied.
 #[derive(Default)]
-struct PendingAnswer {
-    /// Its number among all answers.
+struct PendingResponse {
+    /// The sequence number of the response; servers that it names get it as their [`KnownServer::last_response`].
     number: u64,
-    /// Servers that it adds.
+    /// New servers that are not applied yet.
     added: VecDeque<Host>,
-    /// How many more it adds than there is capacity for.
+    /// New servers that are ignored because [`Servers::max_servers`] is reached.
     over_capacity: usize,
     invalid_entries: usize,
-    /// Its version and whether it is complete, once it has ended.
+    /// The list's version and whether it is complete; `None` until the response has ended.
     envelope: Option<Envelope>,
-    /// Servers that it removes.
+    /// Servers that a complete list does not name, not removed yet.
     removed: Vec<ServerId>,
 }
 
-/// A part of an answer in the balancer's terms.
-pub struct Step {
-    /// What has changed.
+/// The result of applying a part of a response.
+pub struct AppliedStep {
+    /// The changed servers.
     pub endpoints: Vec<Endpoint>,
-    /// The answer is applied completely.
+    /// Whether the response is now applied completely.
     pub is_last: bool,
 }
 
-/// A server that has just been forgotten.
+/// A removed server that is no longer remembered.
 pub struct ForgottenServer {
-    /// The number that it had.
+    /// The server's former id.
     pub server: ServerId,
-    /// The name of its zone.
+    /// The name of the zone that the server was in.
     pub zone: String,
 }
 
-/// What is known of the servers by the endpoint list.
+/// The known servers, as the endpoint list describes them.
 pub struct Servers {
     ids: HashMap<String, ServerId>,
     known: HashMap<ServerId, KnownServer>,
-    /// Servers that accept requests by the list.
+    /// Servers that accept requests according to the list.
     serving: HashSet<ServerId>,
-    /// The names of the zones in which servers are or were.
+    /// The names of all zones that have or had servers, up to [`MAX_ZONES`].
     zones: BTreeMap<ZoneId, String>,
-    /// The attempts at forgotten servers, by zone.
+    /// Attempt counts of forgotten servers, by zone name.
     forgotten_attempts: BTreeMap<String, AttemptCounts>,
-    /// Removed servers, the first removed first: attempts may still be in flight there, and logs name them.
+    /// Removed servers in the order of removal, kept because attempts to them may still be in flight and logs name
+    /// them.
     removed: VecDeque<ServerId>,
-    /// Servers that an operator has named: their numbers stand for the operator's commands.
+    /// Servers that an operator command has named. They are never forgotten, because their ids identify the target.
     named_by_operator: HashSet<ServerId>,
     max_servers: usize,
-    answer: PendingAnswer,
-    /// Converts the start times of the list.
+    pending_response: PendingResponse,
+    /// Converts the list's start times to the balancer's time.
     wall_clock: Rc<WallClock>,
-    /// The version of the list, as the present discovery counts; none before its first list.
+    /// The version of the list, as counted by the current discovery address; `None` before its first list.
     pub version: Option<u64>,
 }
 
 impl Servers {
-    /// Knows none; at most `max_servers` will be known at once.
+    /// Creates an empty registry that holds at most `max_servers` servers.
     pub fn new(max_servers: usize, wall_clock: Rc<WallClock>) -> Self {
         Servers {
             ids: HashMap::new(),
@@ -86,18 +89,18 @@
             removed: VecDeque::new(),
             named_by_operator: HashSet::new(),
             max_servers,
-            answer: PendingAnswer::default(),
+            pending_response: PendingResponse::default(),
             wall_clock,
             version: None,
         }
     }
 
-    /// Whether there is a server to send to.
+    /// Whether any server accepts requests.
     pub fn has_serving(&self) -> bool {
         !self.serving.is_empty()
     }
 
-    /// The number of a server that has had this name.
+    /// The id of the server with this name, if it is known.
     pub fn id(&self, name: &str) -> Option<ServerId> {
         self.ids.get(name).copied()
     }
@@ -112,17 +115,17 @@
         self.listed(server).map_or("", |listed| self.zone_name(listed.endpoint.zone))
     }
 
-    /// A zone's name as the list has it; empty if it is not known.
+    /// A zone's name in the list; empty if it is not known.
     pub fn zone_name(&self, zone: ZoneId) -> &str {
         self.zones.get(&zone).map_or("", String::as_str)
     }
 
-    /// Whether a server is or was in a zone of this name.
+    /// Whether a zone of this name has or had servers.
     pub fn has_zone(&self, zone: &str) -> bool {
         self.zones.values().any(|known| known == zone)
     }
 
-    /// Logs a decision of the balancer with the names of what it is about.
+    /// Logs a decision of the balancer with the names of the server and the zone that it concerns.
     pub fn log_decision(&self, server: Option<ServerId>, zone: Option<ZoneId>, text: &str) {
         let zone = match zone {
             Some(zone) => self.zone_name(zone),
@@ -132,13 +135,13 @@
         tracing::warn!(target: "decisions", server, zone, "{text}");
     }
 
-    /// When a server has started, as Unix time by the list.
-    pub fn listed_start(&self, server: ServerId) -> Option<Time> {
-        unix_time(self.listed(server)?.born_ms)
+    /// When a server process started according to the list, as a wall-clock reading; `None` if unknown or long ago.
+    pub fn listed_start_time(&self, server: ServerId) -> Option<Time> {
+        start_unix_time(self.listed(server)?.born_ms)
     }
 
-    /// When a server has started, in the balancer's time.
-    pub fn start(&self, server: ServerId) -> Option<Time> {
+    /// When a server process started, in the balancer's time; `None` if unknown or long ago.
+    pub fn start_time(&self, server: ServerId) -> Option<Time> {
         self.listed(server)?.endpoint.started
     }
 
@@ -146,15 +149,17 @@
         self.known.get(&server)?.listed.as_ref()
     }
 
-    /// When the server of an entry has started, in the balancer's time. What is known of the same start stays as it is,
-    /// whatever the wall clock has been set to since.
-    fn start_of_entry(&self, server: ServerId, host: &Host) -> Option<Time> {
-        let listed_start = unix_time(host.born_ms)?;
-        let is_same = self.listed_start(server) == Some(listed_start);
-        self.start(server).filter(|_| is_same).or_else(|| Some(self.wall_clock.time(listed_start)))
+    /// When the server process of an entry started, in the balancer's time. If the entry has the known start time,
+    /// the known conversion is kept, so that a later step of the wall clock does not move it.
+    fn start_time_of_entry(&self, server: ServerId, host: &Host) -> Option<Time> {
+        let listed_start_time = start_unix_time(host.born_ms)?;
+        let is_unchanged = self.listed_start_time(server) == Some(listed_start_time);
+        self.start_time(server)
+            .filter(|_| is_unchanged)
+            .or_else(|| Some(self.wall_clock.convert(listed_start_time)))
     }
 
-    /// Adds the attempts at a forgotten server to those of its zone.
+    /// Adds the attempt counts of a forgotten server to those of its zone.
     pub fn add_removed_attempts(&mut self, zone: &str, attempts: &AttemptCounts) {
         let has_capacity =
             self.forgotten_attempts.len() < MAX_ZONES || self.forgotten_attempts.contains_key(zone);
@@ -162,8 +167,8 @@
         self.forgotten_attempts.entry(zone).or_default().add(attempts);
     }
 
-    /// The attempts at servers that were removed from the list, by zone. Those at servers that are not forgotten yet
-    /// are in `attempts`.
+    /// Attempt counts of servers that were removed from the list, by zone name. `attempts` has the counts of servers
+    /// that are still remembered.
     pub fn removed_attempts_by_zone(
         &self,
         attempts: &HashMap<ServerId, AttemptCounts>,
@@ -176,25 +181,26 @@
         by_zone
     }
 
-    /// Discovery is being called; of an answer that was being applied nothing more comes.
-    pub fn begin_answer(&mut self) {
-        self.answer = PendingAnswer { number: self.answer.number + 1, ..PendingAnswer::default() };
+    /// Starts a new response and discards what was not applied of the previous one.
+    pub fn begin_response(&mut self) {
+        self.pending_response =
+            PendingResponse { number: self.pending_response.number + 1, ..PendingResponse::default() };
     }
 
-    /// Applies entries of an answer: what they change of known servers, in the balancer's terms. `describe` gets the
-    /// entries that change something, with their servers' numbers.
+    /// Applies entries of a response and returns the known servers that changed. `on_change` is called with each
+    /// entry that changes something and the id of its server.
     pub fn apply_entries(
         &mut self,
         entries: Vec<Result<Host, InvalidEntry>>,
         names: &Names,
-        mut describe: impl FnMut(ServerId, &Host),
+        mut on_change: impl FnMut(ServerId, &Host),
     ) -> Vec<Endpoint> {
         let mut endpoints = Vec::new();
         for entry in entries {
             match entry {
                 Ok(host) => match self.ids.get(&host.name) {
                     Some(&server) => {
-                        endpoints.extend(self.apply_entry(server, &host, names, &mut describe));
+                        endpoints.extend(self.apply_entry(server, &host, names, &mut on_change));
                     }
                     None => self.add(host),
                 },
@@ -204,35 +210,36 @@
         endpoints
     }
 
-    /// Adds a server that is not known to those that wait for the answer's end.
+    /// Queues an unknown server to be added when the response has ended.
     fn add(&mut self, host: Host) {
-        // The removal of one that was never known changes nothing.
+        // Removing an unknown server changes nothing.
         if host.health == Health::Removed {
             return;
         }
-        if self.known.len() + self.answer.added.len() >= self.max_servers {
-            self.answer.over_capacity += 1;
+        if self.known.len() + self.pending_response.added.len() >= self.max_servers {
+            self.pending_response.over_capacity += 1;
         } else {
-            self.answer.added.push_back(host);
+            self.pending_response.added.push_back(host);
         }
     }
 
-    /// An entry is invalid: what was known of its server stands.
+    /// Counts and logs an invalid entry. Its server, if it is known, keeps its last valid entry and
+    /// counts as named by the response.
     fn record_invalid_entry(&mut self, entry: InvalidEntry) {
         let server = entry.name.as_deref().and_then(|name| self.ids.get(name));
         if let Some(known) = server.and_then(|server| self.known.get_mut(server)) {
-            known.last_answer = self.answer.number;
+            known.last_response = self.pending_response.number;
         }
-        self.answer.invalid_entries += 1;
-        if self.answer.invalid_entries <= MAX_LOGGED_INVALID_ENTRIES {
+        self.pending_response.invalid_entries += 1;
+        if self.pending_response.invalid_entries <= MAX_LOGGED_INVALID_ENTRIES {
             let server = entry.name.as_deref().unwrap_or("");
             tracing::warn!(target: "discovery", server, "a line of the list is not taken: {entry}");
         }
     }
 
-    /// The answer has ended as it should; [`Servers::apply_step`] applies the rest of it.
-    pub fn end_answer(&mut self, envelope: Envelope) {
-        let PendingAnswer { number, over_capacity, invalid_entries, .. } = self.answer;
+    /// Records that the response has been received completely; [`Servers::apply_step`] applies the rest of it.
+    pub fn end_response(&mut self, envelope: Envelope) {
+        let PendingResponse { number, over_capacity, invalid_entries, .. } = self.pending_response;
         let version = envelope.seq;
         if invalid_entries > MAX_LOGGED_INVALID_ENTRIES {
             let more = invalid_entries - MAX_LOGGED_INVALID_ENTRIES;
@@ -240,78 +247,78 @@
         }
         if over_capacity > 0 {
             let max = self.max_servers;
-            tracing::warn!(target: "discovery", "list {version}: {over_capacity} servers are not taken, the capacity is {max}");
+            tracing::warn!(target: "discovery", "list {version}: {over_capacity} servers are ignored, the limit is {max}");
         }
         if envelope.is_complete {
-            let is_missing = |known: &KnownServer| known.last_answer != number && known.is_present();
+            let is_missing = |known: &KnownServer| known.last_response != number && known.is_present();
             let missing = self.known.iter().filter(|(_, known)| is_missing(known));
-            self.answer.removed = missing.map(|(server, _)| *server).collect();
-            // The balancer's decisions must not depend on the order of a hash table.
-            self.answer.removed.sort_unstable();
+            self.pending_response.removed = missing.map(|(server, _)| *server).collect();
+            // The balancer's decisions must not depend on the iteration order of a hash map.
+            self.pending_response.removed.sort_unstable();
         }
-        self.answer.envelope = Some(envelope);
+        self.pending_response.envelope = Some(envelope);
     }
 
-    /// Applies up to `max` of the servers that the answer adds, and then of those that it removes. Added ones are first:
-    /// in between there must be some to send to.
+    /// Applies up to `max` additions and then removals of a response that has ended. Additions come first, because the
+    /// balancer needs servers to send to between two steps.
     pub fn apply_step(
         &mut self,
         max: usize,
         names: &Names,
-        mut describe: impl FnMut(ServerId, &Host),
-    ) -> Step {
+        mut on_change: impl FnMut(ServerId, &Host),
+    ) -> AppliedStep {
         let mut endpoints = Vec::new();
         while endpoints.len() < max {
-            if let Some(host) = self.answer.added.pop_front() {
+            if let Some(host) = self.pending_response.added.pop_front() {
                 let server = self.intern(&host.name);
-                endpoints.extend(self.apply_entry(server, &host, names, &mut describe));
-            } else if let Some(server) = self.answer.removed.pop() {
-                endpoints.extend(self.remove(server, &mut describe));
+                endpoints.extend(self.apply_entry(server, &host, names, &mut on_change));
+            } else if let Some(server) = self.pending_response.removed.pop() {
+                endpoints.extend(self.remove(server, &mut on_change));
             } else {
                 break;
             }
         }
-        let is_last = self.answer.added.is_empty() && self.answer.removed.is_empty();
-        if let Some(envelope) = self.answer.envelope.filter(|_| is_last) {
+        let is_last = self.pending_response.added.is_empty() && self.pending_response.removed.is_empty();
+        if let Some(envelope) = self.pending_response.envelope.filter(|_| is_last) {
             self.version = Some(envelope.seq);
         }
-        Step { endpoints, is_last }
+        AppliedStep { endpoints, is_last }
     }
 
-    /// Applies a list that is there completely, as at the start.
+    /// Applies a list that is already in memory, such as the configured one at process start.
     pub fn apply_list(
         &mut self,
         list: List,
         names: &Names,
-        mut describe: impl FnMut(ServerId, &Host),
+        mut on_change: impl FnMut(ServerId, &Host),
     ) -> Vec<Endpoint> {
-        self.begin_answer();
+        self.begin_response();
         let invalid = list.invalid_entries.into_iter().map(Err);
         let entries = list.hosts.into_iter().map(Ok).chain(invalid).collect();
-        let mut endpoints = self.apply_entries(entries, names, &mut describe);
-        self.end_answer(Envelope { seq: list.seq, is_complete: list.is_complete });
-        endpoints.extend(self.apply_step(usize::MAX, names, describe).endpoints);
+        let mut endpoints = self.apply_entries(entries, names, &mut on_change);
+        self.end_response(Envelope { seq: list.seq, is_complete: list.is_complete });
+        endpoints.extend(self.apply_step(usize::MAX, names, on_change).endpoints);
         endpoints
     }
 
-    /// Applies an entry to its server; none if it changes nothing.
+    /// Applies an entry to its server; `None` if nothing changes.
     fn apply_entry(
         &mut self,
         server: ServerId,
         host: &Host,
         names: &Names,
-        describe: &mut impl FnMut(ServerId, &Host),
+        on_change: &mut impl FnMut(ServerId, &Host),
     ) -> Option<Endpoint> {
-        let endpoint = endpoint(server, host, names, self.start_of_entry(server, host));
+        let endpoint = to_endpoint(server, host, names, self.start_time_of_entry(server, host));
         self.record_zone_name(endpoint.zone, &host.zone);
         let known = self.known.get_mut(&server)?;
-        known.last_answer = self.answer.number;
+        known.last_response = self.pending_response.number;
         let listed = ListedServer { endpoint: endpoint.clone(), address: host.dial, born_ms: host.born_ms };
         if known.listed.as_ref() == Some(&listed) {
             return None;
         }
         known.listed = Some(listed);
-        describe(server, host);
+        on_change(server, host);
         match endpoint.status {
             Status::Serving => self.serving.insert(server),
             _ => self.serving.remove(&server),
@@ -329,22 +336,22 @@
         }
     }
 
-    /// Removes a server that a complete list does not name, whatever else was known of it.
-    fn remove(&mut self, server: ServerId, describe: &mut impl FnMut(ServerId, &Host)) -> Option<Endpoint> {
+    /// Removes a server that a complete list does not name. Its last entry is kept, marked as removed.
+    fn remove(&mut self, server: ServerId, on_change: &mut impl FnMut(ServerId, &Host)) -> Option<Endpoint> {
         let known = self.known.get_mut(&server)?;
         let host = known.remove()?;
         let endpoint = known.listed.as_ref()?.endpoint.clone();
-        describe(server, &host);
+        on_change(server, &host);
         self.serving.remove(&server);
         self.removed.push_back(server);
         Some(endpoint)
     }
 
-    /// Forgets the server that was removed first, if more than [`MAX_REMOVED`] are remembered.
+    /// Forgets the server that was removed first if more than [`MAX_REMOVED_SERVERS`] are remembered.
     pub fn forget_oldest_removed(&mut self) -> Option<ForgottenServer> {
-        while self.removed.len() > MAX_REMOVED {
+        while self.removed.len() > MAX_REMOVED_SERVERS {
             let server = self.removed.pop_front()?;
-            // It may have been added again since, or be named by an operator.
+            // It may have been listed again, or an operator may have named it.
             let is_removed = self.known.get(&server).is_some_and(KnownServer::is_removed);
             if !is_removed || self.named_by_operator.contains(&server) {
                 continue;
@@ -358,15 +365,15 @@
         None
     }
 
-    /// The number of a server that an operator has named, which it keeps from now on.
+    /// The id of a server that an operator has named; the server keeps it from now on.
     pub fn intern_for_operator(&mut self, name: &str) -> ServerId {
         let server = self.intern(name);
         self.named_by_operator.insert(server);
         server
     }
 
-    /// A server's number is a hash of its name, the same at every agent. Should two names have the same hash, the later
-    /// one gets the next free number.
+    /// The id of the server with this name, assigned if it has none. The id is a hash of the name, so that all agents
+    /// use the same one. On a collision the later name gets the next free id.
     fn intern(&mut self, name: &str) -> ServerId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -375,8 +382,9 @@
         while self.known.contains_key(&ServerId(id)) {
             id = id.wrapping_add(1);
         }
-        tracing::debug!(target: "discovery", "server {id} is {name}");
-        let known = KnownServer { name: name.to_owned(), listed: None, last_answer: self.answer.number };
+        tracing::debug!(target: "discovery", "server {name} has the id {id}");
+        let known =
+            KnownServer { name: name.to_owned(), listed: None, last_response: self.pending_response.number };
         self.known.insert(ServerId(id), known);
         self.ids.insert(name.to_owned(), ServerId(id));
         ServerId(id)
--- a/agent/src/driver/servers/tests.rs
+++ b/agent/src/driver/servers/tests.rs
@@ -4,7 +4,7 @@
 
 const HOUR: Span = Span(3_600_000_000);
 
-/// The servers of an agent whose wall clock a test steps.
+/// The known servers of an agent whose wall clock can be stepped.
 struct ServerFixture {
     clock: Clock,
     wall_clock: Rc<WallClock>,
@@ -18,17 +18,18 @@
         ServerFixture { clock, servers: Servers::new(10, wall_clock.clone()), wall_clock }
     }
 
-    /// The wall clock reads an hour more, or an hour less, from now on; what it reads now.
-    fn step(&self, ahead: bool) -> Time {
+    /// Steps the wall clock by an hour, forward if `is_forward`, and returns its reading after the step.
+    fn step(&self, is_forward: bool) -> Time {
         let now = self.clock.now();
         self.wall_clock.observe(now, now);
-        let reads = if ahead { now + HOUR } else { now - HOUR };
-        assert!(self.wall_clock.observe(now, reads).is_some(), "a step was seen");
-        reads
+        let reading = if is_forward { now + HOUR } else { now - HOUR };
+        assert!(self.wall_clock.observe(now, reading).is_some(), "the step must be detected");
+        reading
     }
 
-    /// Discovery says that a server has started at this reading of the wall clock; what the balancer is notified of.
-    fn apply(&mut self, born: Time, health: Health) -> Vec<Endpoint> {
+    /// Applies an entry whose server started at the wall-clock reading `started_at`, and returns the changes for the
+    /// balancer.
+    fn apply(&mut self, started_at: Time, health: Health) -> Vec<Endpoint> {
         let host = Host {
             name: "s".into(),
             dial: None,
@@ -37,7 +38,7 @@
             cell: 0,
             health,
             weight: 1.0,
-            born_ms: born.0 as f64 / 1e3,
+            born_ms: started_at.0 as f64 / 1e3,
         };
         let list = List { seq: 1, is_complete: false, hosts: vec![host], invalid_entries: Vec::new() };
         self.servers.apply_list(list, &names(), |_, _| {})
@@ -45,33 +46,45 @@
 }
 
 #[test]
-fn what_is_known_keeps_its_start_when_the_wall_clock_is_stepped() {
-    for ahead in [true, false] {
-        let mut listed = ServerFixture::new();
-        let born = listed.clock.now() - Span(10_000_000);
-        assert_eq!(listed.apply(born, Health::Up)[0].started, Some(born));
-        listed.step(ahead);
-        assert_eq!(listed.apply(born, Health::Up), [], "ahead {ahead}: nothing is new");
-        let draining = listed.apply(born, Health::Draining);
-        assert_eq!(draining[0].started, Some(born), "ahead {ahead}: no other process");
+fn a_wall_clock_step_does_not_move_a_known_start_time() {
+    for is_forward in [true, false] {
+        let mut fixture = ServerFixture::new();
+        let started_at = fixture.clock.now() - Span(10_000_000);
+        assert_eq!(fixture.apply(started_at, Health::Up)[0].started, Some(started_at));
+        fixture.step(is_forward);
+        assert_eq!(
+            fixture.apply(started_at, Health::Up),
+            [],
+            "is_forward {is_forward}: an unchanged entry must produce no update"
+        );
+        let draining = fixture.apply(started_at, Health::Draining);
+        assert_eq!(
+            draining[0].started,
+            Some(started_at),
+            "is_forward {is_forward}: the start time must be unchanged"
+        );
     }
 }
 
 #[test]
-fn a_server_that_restarts_after_a_step_is_as_old_as_it_is() {
-    for ahead in [true, false] {
-        let mut listed = ServerFixture::new();
+fn a_server_restarted_after_a_wall_clock_step_has_its_true_age() {
+    for is_forward in [true, false] {
+        let mut fixture = ServerFixture::new();
         let id = {
-            let born = listed.clock.now() - Span(60_000_000);
-            listed.apply(born, Health::Up)[0].server
+            let started_at = fixture.clock.now() - Span(60_000_000);
+            fixture.apply(started_at, Health::Up)[0].server
         };
-        let born = listed.step(ahead);
-        let changed = listed.apply(born, Health::Up);
-        let started = changed[0].started.expect("a start");
-        let (now, most) = (listed.clock.now(), Span(30_000_000));
-        assert!(started <= now && now.since(started) < most, "ahead {ahead}: {:?} old", now.since(started));
-        // Another process gets the start time of the list.
-        assert_eq!(listed.servers.listed_start(id), unix_time(born.0 as f64 / 1e3));
+        let started_at = fixture.step(is_forward);
+        let changed = fixture.apply(started_at, Health::Up);
+        let started = changed[0].started.expect("a start time");
+        let (now, max_age) = (fixture.clock.now(), Span(30_000_000));
+        assert!(
+            started <= now && now.since(started) < max_age,
+            "is_forward {is_forward}: age {:?}",
+            now.since(started)
+        );
+        // Snapshots for another process use the list's start time.
+        assert_eq!(fixture.servers.listed_start_time(id), start_unix_time(started_at.0 as f64 / 1e3));
     }
 }
 
--- a/agent/src/driver/view.rs
+++ b/agent/src/driver/view.rs
@@ -1,4 +1,4 @@
-//! What the admin API and the next process read of the balancer: servers and zones by their names, and the snapshot.
+//! Read access to the balancer's state for the admin API and for snapshots: converts server and zone ids to names.
 
 use super::servers::Servers;
 use super::state::State;
@@ -9,7 +9,8 @@
 use std::cell::Ref;
 use std::collections::BTreeMap;
 
-/// What the balancer knows at one moment. The event loop's state is borrowed for as long as this is held.
+/// A read-only view of the balancer's state at one moment. It borrows the event loop's state, so no event can be
+/// handled while it exists.
 pub struct View<'a> {
     state: Ref<'a, State>,
     names: &'a Names,
@@ -18,17 +19,17 @@
 }
 
 impl<'a> View<'a> {
-    /// A view of the state as it is at `now`.
+    /// Creates a view of `state` at `now`, the current time.
     pub fn new(state: Ref<'a, State>, names: &'a Names, metrics: &'a Metrics, now: Time) -> Self {
         View { state, names, metrics, now }
     }
 
-    /// How many servers there are, and how many of them are avoided.
+    /// The number of listed servers and of those that the balancer avoids.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         self.state.queue.balancer.endpoint_counts(self.now)
     }
 
-    /// The balancer's view of each server on the endpoint list with the attempts at it, sorted by name.
+    /// The state and the attempt counts of each server on the endpoint list, sorted by name.
     pub fn renderers(&self) -> Vec<Renderer> {
         let attempts = self.metrics.attempts_by_server();
         let renderer = |view: ServerView| {
@@ -41,13 +42,13 @@
         renderers
     }
 
-    /// The attempts at servers that were removed from the endpoint list, by zone.
+    /// Attempt counts of servers that were removed from the endpoint list, by zone name.
     pub fn removed_attempts_by_zone(&self) -> BTreeMap<String, AttemptCounts> {
         self.state.servers.removed_attempts_by_zone(&self.metrics.attempts_by_server())
     }
 
-    /// How the balancer uses each zone of the endpoint list, by the zone's name: for all classes, and for the classes
-    /// for which that differs.
+    /// How the balancer uses each zone of the endpoint list, by zone name: overall, and for each class that is treated
+    /// differently.
     pub fn zone_phases(&self) -> BTreeMap<String, ZonePhases> {
         let mut phases: BTreeMap<String, ZonePhases> = BTreeMap::new();
         for view in self.state.queue.balancer.zone_views() {
@@ -67,7 +68,7 @@
         phases
     }
 
-    /// The number of a server that has had this name.
+    /// The id of the server with this name, if it is known.
     pub fn server_id(&self, name: &str) -> Option<ServerId> {
         self.state.servers.id(name)
     }
@@ -82,24 +83,24 @@
         self.names.zones.iter().any(|zone| zone == name) || self.state.servers.has_zone(name)
     }
 
-    /// What the balancer has learned of its servers, for another process. The start times of the servers are those of
-    /// the endpoint list: the other process, whose wall clock may have been set otherwise when it read a start time,
-    /// recognizes the same server process by them.
+    /// A snapshot of what the balancer has learned about its servers, for another process. Start times are those of
+    /// the endpoint list instead of the balancer's: the other process may have converted them under another
+    /// wall-clock offset, and identifies a server process by the listed start time.
     pub fn snapshot(&self) -> Snapshot {
         let mut snapshot = self.state.queue.balancer.snapshot(self.now);
         for server in &mut snapshot.servers {
-            server.started = self.state.servers.listed_start(server.server);
+            server.started = self.state.servers.listed_start_time(server.server);
         }
         snapshot
     }
 
-    /// The part of another process's snapshot that is about server processes which this one knows, with their start
-    /// times in the balancer's time.
+    /// Reduces another process's snapshot to the server processes that this one knows, and converts their start times
+    /// to the balancer's time.
     pub fn applicable_snapshot(&self, mut snapshot: Snapshot) -> Snapshot {
         let servers = &self.state.servers;
-        snapshot.servers.retain(|server| server.started == servers.listed_start(server.server));
+        snapshot.servers.retain(|server| server.started == servers.listed_start_time(server.server));
         for server in &mut snapshot.servers {
-            server.started = servers.start(server.server);
+            server.started = servers.start_time(server.server);
         }
         snapshot
     }
