--- a/agent/src/driver/servers.rs
+++ b/agent/src/driver/servers.rs
@@ -181,7 +181,7 @@
         by_zone
     }
 
-    /// Starts a new response and discards what was not applied of the previous one.
+    /// Begins a new response and discards what was not applied of the previous one.
     pub fn begin_response(&mut self) {
         self.pending_response =
             PendingResponse { number: self.pending_response.number + 1, ..PendingResponse::default() };
