--- a/agent/src/downstream/body_reader.rs
+++ b/agent/src/downstream/body_reader.rs
@@ -3,7 +3,7 @@
 
 use crate::downstream::errors::RequestError;
 use crate::downstream::lifecycle::Lifecycle;
-use crate::driver::arrival::Content;
+use crate::driver::client_request::RequestBody;
 use crate::traffic::body_deadline::BodyDeadline;
 use crate::traffic::memory_budget::{MemoryBudget, MemoryReservation, MAX_BUFFERED_BODY_BYTES};
 use crate::traffic::request_body::{BodyError, RequestBodyParts, RequestBodyStream, MAX_REQUEST_BODY_BYTES};
@@ -35,7 +35,7 @@
 /// A request body that is buffered completely or ready to be streamed.
 pub struct ReceivedBody {
     /// The bytes or the stream.
-    pub content: Content,
+    pub content: RequestBody,
     /// The total time spent waiting for memory, in which the body was not read.
     pub memory_wait: Duration,
 }
@@ -70,7 +70,7 @@
             memory_wait = memory.waited;
             match self.buffer_up_to_limit(&mut body).await? {
                 BufferedBody::Complete(bytes) => {
-                    let content = Content::Buffered { bytes, _reservation: memory.reservation };
+                    let content = RequestBody::Buffered { bytes, _reservation: memory.reservation };
                     return Ok(ReceivedBody { content, memory_wait });
                 }
                 BufferedBody::Prefix(bytes) => prefix = bytes,
@@ -87,7 +87,7 @@
             reservation: memory.reservation,
             earliest_end: Instant::now() - memory_wait,
         });
-        Ok(ReceivedBody { content: Content::Streamed(stream), memory_wait })
+        Ok(ReceivedBody { content: RequestBody::Streamed(stream), memory_wait })
     }
 
     async fn buffer_up_to_limit(&mut self, body: &mut Incoming) -> Result<BufferedBody, BodyError> {
--- a/agent/src/downstream/handler.rs
+++ b/agent/src/downstream/handler.rs
@@ -5,8 +5,8 @@
 use crate::downstream::lifecycle::Lifecycle;
 use crate::downstream::request_head::{header_text, RequestHead};
 use crate::downstream::responses::{answer_response, error_response, text_response};
-use crate::driver::arrival::Arrival;
-use crate::driver::{Driver, ANSWER_TURNS};
+use crate::driver::client_request::ClientRequest;
+use crate::driver::{Driver, RESPONSE_DELIVERY_TURNS};
 use crate::traffic::body_deadline::BodyDeadline;
 use crate::traffic::connection_timer::{yield_turns, StartedRequest};
 use crate::traffic::request_body::{BodyError, RequestBodyStream};
@@ -98,7 +98,7 @@
         }
         let request_id = request.headers().get("x-request-id").cloned();
         match self.read_request(request, body_deadline).await {
-            Ok(arrival) => self.wait_for_answer(arrival).await,
+            Ok(client_request) => self.wait_for_answer(client_request).await,
             Err(error) => {
                 let request_id = request_id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or_default();
                 self.driver.record_invalid_request(request_id, error.status(), &error.to_string());
@@ -128,11 +128,11 @@
         &self,
         request: Request<Incoming>,
         body_deadline: BodyDeadline,
-    ) -> Result<Arrival, RequestError> {
+    ) -> Result<ClientRequest, RequestError> {
         let (parts, body) = request.into_parts();
         let head = RequestHead::parse(&parts, &self.driver.names, &self.driver.idempotency)?;
         let reader = BodyReader {
-            budget: &self.driver.budget,
+            budget: &self.driver.memory_budget,
             lifecycle: &self.lifecycle,
             deadline: body_deadline,
             expects_continue: parts.headers.contains_key(EXPECT),
@@ -142,13 +142,13 @@
         // The client may have sent the complete body while the agent waited for memory, so its timeout may have started
         // then.
         let arrived_at = Instant::now() - body.memory_wait;
-        Ok(Arrival {
+        Ok(ClientRequest {
             class: head.class,
             tenant: head.tenant,
-            key: head.affinity_key,
+            affinity_key: head.affinity_key,
             cost_hint: head.cost_hint,
-            repeat: head.is_retry,
-            name: head.request_id,
+            is_retry: head.is_retry,
+            request_id: head.request_id,
             arrived_at,
             deadline: self.deadline(arrived_at, head.client_timeout),
             headers: forwarded_headers(&parts.headers),
@@ -171,9 +171,13 @@
         arrived_at + (timeout - reserve)
     }
 
-    async fn wait_for_answer(&self, arrival: Arrival) -> Response<ResponseBody> {
-        let (deadline, timeout, body) = (arrival.deadline, arrival.wait(), arrival.intake().cloned());
-        let (id, answer) = self.driver.submit(arrival);
+    async fn wait_for_answer(&self, client_request: ClientRequest) -> Response<ResponseBody> {
+        let (deadline, timeout, body) = (
+            client_request.deadline,
+            client_request.response_timeout(),
+            client_request.streamed_body().cloned(),
+        );
+        let (id, answer) = self.driver.submit(client_request);
         // When the client disconnects, hyper drops this future, and this guard notifies the balancer.
         let _pending = PendingRequest { driver: &self.driver, id };
         let response = tokio::select! {
@@ -212,5 +216,5 @@
         None => sleep_until(deadline + OVERDUE_GRACE).await,
         Some(body) => sleep_until(body.wait_until_complete().await + timeout + OVERDUE_GRACE).await,
     }
-    yield_turns(2 * ANSWER_TURNS).await;
+    yield_turns(2 * RESPONSE_DELIVERY_TURNS).await;
 }
