--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -1,4 +1,4 @@
-//! The settings object in the balancer's terms.
+//! Converts the parsed settings object to [`balancer::Settings`].
 
 use crate::params::{
     ClassParams, DeduplicationScopeParam, DiscoveryParam, GoalParams, IdempotencyParam, Params, PriceParams,
@@ -9,13 +9,14 @@
     Span, Tenant, Weights, ZoneId,
 };
 
-/// The settings of a balancer; what is absent from the object keeps the value of [`Settings::default`]. Whether a
-/// balancer can work with them is for [`balancer::Balancer::new`] to check.
+/// Converts a settings object to the settings of a balancer. Keys with a default in [`Settings::default`] have that
+/// value where they are absent; other absent keys are zero, false or empty. The result is not validated here:
+/// [`balancer::Balancer::new`] does that.
 pub fn settings(params: &Params) -> Settings {
     let default = Settings::default();
     let (limits, rules) = (&params.limits, &params.rules);
     Settings {
-        // The limit on descriptors is known to the host alone.
+        // Derived from the descriptor limit, which only the host knows.
         max_concurrent_requests: None,
         balancers: params.balancers.unwrap_or(default.balancers),
         zone: ZoneId(params.zone),
@@ -26,7 +27,7 @@
         goal: Goal::from(&params.goal),
         prices: Prices::from(&params.prices),
         discovery: params.discovery.map_or(default.discovery, Discovery::from),
-        max_poll_interval: span_or(rules.max_poll_interval_ms, default.max_poll_interval),
+        max_poll_interval: span_or_default(rules.max_poll_interval_ms, default.max_poll_interval),
         report_source: ReportSource::from(params.reports.source),
         report_fields: params.reports.fields.iter().map(|name| report_field(name)).collect(),
         weights: params.weights.map_or(default.weights, Weights::from),
@@ -38,21 +39,21 @@
         gossip: limits.gossip,
         retry_after: limits.retry_after,
         max_retry_after: Span::from_ms(limits.max_retry_after_ms),
-        drain_grace: span_or(rules.drain_grace_ms, default.drain_grace),
+        drain_grace: span_or_default(rules.drain_grace_ms, default.drain_grace),
         initial_capacity: rules.initial_capacity.unwrap_or(default.initial_capacity),
-        warm_up_time: span_or(rules.warm_up_time_ms, default.warm_up_time),
+        warm_up_time: span_or_default(rules.warm_up_time_ms, default.warm_up_time),
         overload_factor: rules.overload_factor.unwrap_or(default.overload_factor),
-        overload_window: span_or(rules.overload_window_ms, default.overload_window),
-        event_interval: span_or(params.event_interval_ms, default.event_interval),
-        keepalive: span_or(limits.keepalive_ms, default.keepalive),
+        overload_window: span_or_default(rules.overload_window_ms, default.overload_window),
+        event_interval: span_or_default(params.event_interval_ms, default.event_interval),
+        keepalive: span_or_default(limits.keepalive_ms, default.keepalive),
     }
 }
 
-fn span_or(ms: Option<f64>, default: Span) -> Span {
+fn span_or_default(ms: Option<f64>, default: Span) -> Span {
     ms.map_or(default, Span::from_ms)
 }
 
-/// A field of a load report by its name on the wire; one that is not known is skipped.
+/// The load report field with this wire name. An unknown name is [`ReportField::Other`], whose values are not used.
 fn report_field(name: &str) -> ReportField {
     match name {
         "inflight" => ReportField::InFlight,
@@ -84,7 +85,7 @@
         IdempotencyParam::Idempotent => Idempotency::Idempotent,
         IdempotencyParam::AtMostOnce => Idempotency::AtMostOnce,
         IdempotencyParam::Deduplicated => Idempotency::Deduplicated {
-            // Without a stated scope the narrowest one is the safe reading.
+            // The narrowest scope is the safe default: it permits the fewest servers for a retry.
             scope: params.deduplication_scope.map_or(DeduplicationScope::Cell, DeduplicationScope::from),
             window: Span::from_ms(params.deduplication_window_ms),
         },
@@ -110,7 +111,7 @@
 impl From<&GoalParams> for Goal {
     fn from(params: &GoalParams) -> Self {
         Goal {
-            overall: params.whole,
+            overall: params.overall,
             worst_window: params.worst_window,
             worst_class: params.worst_class,
             worst_tenant: params.worst_tenant,
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reads the settings object that a balancer is given: in the simulator's first message, and in a real agent's
-//! configuration. This is the one place that knows the object's keys.
+//! Parses the JSON settings object of a balancer. The simulator sends it in its first message; a real agent has it in
+//! its configuration file. The keys of the object are defined in this crate only.
 
 mod convert;
 mod hash;
--- a/settings/src/names.rs
+++ b/settings/src/names.rs
@@ -1,31 +1,31 @@
-//! The names and limits in the settings object that only a host with real sockets needs.
+//! The names and connection timeouts in the settings object that only a host with real sockets needs.
 
 use crate::params::Params;
 use balancer::{Settings, Span};
 
-/// The connect timeout where the object names none, in milliseconds.
+/// The connect timeout if the settings object has none.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
 
-/// What a real agent needs of the settings object besides [`balancer::Settings`].
+/// The part of the settings object that a real agent needs in addition to [`balancer::Settings`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct Names {
-    /// The request classes, by [`balancer::ClassId`].
+    /// Names of the request classes, indexed by [`balancer::ClassId`].
     pub classes: Vec<String>,
-    /// The tenants, by [`balancer::TenantId`].
+    /// Names of the tenants, indexed by [`balancer::TenantId`].
     pub tenants: Vec<String>,
-    /// The zones, by [`balancer::ZoneId`].
+    /// Names of the zones, indexed by [`balancer::ZoneId`].
     pub zones: Vec<String>,
-    /// The kinds of machine, by [`balancer::KindId`].
+    /// Names of the machine kinds, indexed by [`balancer::KindId`].
     pub kinds: Vec<String>,
-    /// The fields of a load report, in the order of [`balancer::Settings::report_fields`].
+    /// Wire names of the load report fields, in the order of [`balancer::Settings::report_fields`].
     pub report_fields: Vec<String>,
-    /// A connection that is not established within this time has failed.
+    /// Time after which an attempt to connect to a server fails.
     pub connect_timeout: Span,
-    /// A server closes a connection that has been idle for this long.
+    /// Time after which a server closes an idle connection.
     pub keepalive: Span,
 }
 
-/// The names and socket limits of a settings object.
+/// Extracts the names and connection timeouts from a settings object.
 pub fn names(params: &Params) -> Names {
     let limits = &params.limits;
     Names {
--- a/settings/src/params.rs
+++ b/settings/src/params.rs
@@ -1,11 +1,11 @@
-//! The settings object as it is written: its keys, its fixed words and the defaults of what is absent.
+//! The JSON schema of the settings object: its keys, its enumerations and the defaults of absent keys.
 //!
-//! The keys are the platform's and stay; fields are named by [`balancer::Settings`]. Times are in milliseconds. Keys
-//! that are not known are skipped, as later versions of the platform may add some.
+//! The platform defines the keys, so they must not change; the fields are named as in [`balancer::Settings`]. Times are
+//! in milliseconds. Unknown keys are ignored, as later versions of the platform may add some.
 
 use serde::Deserialize;
 
-/// A settings object.
+/// A parsed settings object.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Params {
@@ -34,7 +34,7 @@
     pub(crate) kinds: Vec<String>,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct ClassParams {
@@ -57,7 +57,7 @@
     pub(crate) stream: bool,
 }
 
-/// Whether requests of a class may be executed more than once.
+/// Whether a server may execute a request of the class more than once. The default is the strictest value.
 #[derive(Debug, Default, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum IdempotencyParam {
@@ -67,7 +67,7 @@
     AtMostOnce,
 }
 
-/// The servers that share a deduplication store.
+/// Which servers share a deduplication store.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum DeduplicationScopeParam {
@@ -76,7 +76,7 @@
     Cell,
 }
 
-/// How changes to the endpoint list are learned.
+/// How the balancer receives changes to the endpoint list.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum DiscoveryParam {
@@ -85,20 +85,20 @@
     Polled,
 }
 
-/// What the weights in the endpoint list mean.
+/// What the server weights in the endpoint list stand for.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum WeightsParam {
     #[serde(rename = "silent")]
     None,
-    /// The capacity, exactly.
+    /// The exact capacity of the server.
     Nominal,
-    /// The capacity, roughly.
+    /// An estimate of the capacity of the server.
     Rough,
     Live,
 }
 
-/// What a priority weight counts for.
+/// The unit to which a priority weight applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum WeightUnit {
@@ -106,7 +106,7 @@
     Work,
 }
 
-/// Where load reports come from.
+/// How servers deliver load reports.
 #[derive(Debug, Default, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum ReportSourceParam {
@@ -119,7 +119,7 @@
     None,
 }
 
-/// The kind of service.
+/// Properties of the kind of service.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct FamilyInfo {
@@ -127,7 +127,7 @@
     pub(crate) key_affinity: bool,
 }
 
-/// Load reports.
+/// The fields of load reports and how servers deliver them.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct ReportParams {
@@ -135,17 +135,18 @@
     pub(crate) source: ReportSourceParam,
 }
 
-/// The weights of the parts of the overall result.
+/// The weights of the parts of the overall result: all requests, and the worst window, class and tenant.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct GoalParams {
-    pub(crate) whole: f64,
+    #[serde(rename = "whole")]
+    pub(crate) overall: f64,
     pub(crate) worst_class: f64,
     pub(crate) worst_tenant: f64,
     pub(crate) worst_window: f64,
 }
 
-/// What the platform permits and how long it waits.
+/// Features that the platform permits, and its limits on attempts and waiting times.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct Limits {
@@ -163,7 +164,7 @@
     pub(crate) hedging: bool,
 }
 
-/// A tenant.
+/// A tenant and its quota.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct TenantParams {
@@ -172,7 +173,7 @@
     pub(crate) name: String,
 }
 
-/// What operations cost.
+/// The cost of each operation in the overall result.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct PriceParams {
@@ -186,7 +187,7 @@
     pub(crate) waste: f64,
 }
 
-/// How servers start, drain and are polled for.
+/// Timing of polling, drain and slow start, and the thresholds of overload.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct Rules {
--- a/settings/tests/settings_object.rs
+++ b/settings/tests/settings_object.rs
@@ -1,4 +1,5 @@
-//! The settings object is read by its keys into the balancer's settings; what is absent has its default.
+//! Tests that each key of the settings object sets its field of the balancer's settings, and that absent keys have their
+//! defaults.
 
 use balancer::{
     Class, DeduplicationScope, Discovery, Goal, Idempotency, Prices, ReportField, ReportSource, Settings,
@@ -12,7 +13,7 @@
     (settings(&params), names(&params))
 }
 
-/// An object with all keys, none of which has the value of its default.
+/// An object with every key. Values differ from the defaults, so that a key that is not read shows.
 fn complete_object() -> Value {
     json!({
         "balancers": 7,
@@ -154,7 +155,7 @@
 }
 
 #[test]
-fn each_word_of_a_key_with_fixed_words_is_read() {
+fn each_value_of_an_enumeration_is_read() {
     let window = Span::from_ms(900.0);
     let deduplicated = |scope| Idempotency::Deduplicated { scope, window };
     for (effect, group, expected) in [
@@ -171,38 +172,38 @@
     }
     let (settings, _) = read(json!({"classes": [{}]}));
     assert_eq!(settings.classes[0].idempotency, Idempotency::AtMostOnce);
-    for (word, expected) in [("pushed", Discovery::Pushed), ("on_request", Discovery::Polled)] {
-        assert_eq!(read(json!({"discovery": word})).0.discovery, expected, "{word}");
+    for (value, expected) in [("pushed", Discovery::Pushed), ("on_request", Discovery::Polled)] {
+        assert_eq!(read(json!({"discovery": value})).0.discovery, expected, "{value}");
     }
-    for (word, expected) in [
+    for (value, expected) in [
         ("silent", Weights::None),
         ("nominal", Weights::Capacity),
         ("rough", Weights::Capacity),
         ("live", Weights::Live),
     ] {
-        assert_eq!(read(json!({"weights": word})).0.weights, expected, "{word}");
+        assert_eq!(read(json!({"weights": value})).0.weights, expected, "{value}");
     }
-    for (word, expected) in [("request", false), ("work", true)] {
-        assert_eq!(read(json!({"worthBy": word})).0.weight_by_work, expected, "{word}");
+    for (value, expected) in [("request", false), ("work", true)] {
+        assert_eq!(read(json!({"worthBy": value})).0.weight_by_work, expected, "{value}");
     }
-    for (word, expected) in [
+    for (value, expected) in [
         ("piggyback", ReportSource::Responses),
         ("pull", ReportSource::HealthChecks),
         ("silent", ReportSource::None),
     ] {
-        assert_eq!(read(json!({"feedback": {"source": word}})).0.report_source, expected, "{word}");
+        assert_eq!(read(json!({"feedback": {"source": value}})).0.report_source, expected, "{value}");
     }
 }
 
 #[test]
-fn a_word_that_is_not_known_is_an_error_that_names_those_that_are() {
-    let error = serde_json::from_value::<Params>(json!({"worthBy": "weight"})).expect_err("no such word");
+fn an_unknown_enumeration_value_is_an_error_that_lists_the_valid_ones() {
+    let error = serde_json::from_value::<Params>(json!({"worthBy": "weight"})).expect_err("an unknown value");
     assert!(error.to_string().contains("expected `request` or `work`"), "{error}");
 }
 
 #[test]
-fn the_hash_of_a_key_is_the_same_in_every_process() {
-    // Published values of FNV-1a with 64 bits.
+fn fnv1a_matches_published_values() {
+    // Published test vectors of 64-bit FNV-1a. Processes must agree on the hash of a key.
     assert_eq!(balancer_settings::fnv1a(""), 0xcbf2_9ce4_8422_2325);
     assert_eq!(balancer_settings::fnv1a("foobar"), 0x8594_4171_f739_67e8);
 }
