--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -9,9 +9,9 @@
     Span, Tenant, Weights, ZoneId,
 };
 
-/// Converts a settings object to the settings of a balancer. Keys with a default in [`Settings::default`] have that
-/// value where they are absent; other absent keys are zero, false or empty. The result is not validated here:
-/// [`balancer::Balancer::new`] does that.
+/// Converts a settings object to the settings of a balancer. An absent key has its value in [`Settings::default`], except
+/// that the weights of the goal and `maxRetryAfterMs` are then zero, `cancel` is false and there are no classes. The
+/// result is not validated here: [`balancer::Balancer::new`] does that.
 pub fn settings(params: &Params) -> Settings {
     let default = Settings::default();
     let (limits, rules) = (&params.limits, &params.rules);
