--- a/agent/src/config/error.rs
+++ b/agent/src/config/error.rs
@@ -1,4 +1,4 @@
-//! What may be wrong with the configuration.
+//! Errors in the configuration.
 
 use balancer::SettingsError;
 use std::io;
@@ -6,10 +6,10 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why there is no configuration to go by; one line with what is wrong and where.
+/// Why the configuration is rejected. The message is one line that names the variable, key or file.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// Neither the variable nor the file has a value that is needed.
+    /// A required value is neither in the environment nor in the file.
     #[error("{variable} is not set")]
     NotSet {
         /// The environment variable.
@@ -20,49 +20,49 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What reading it said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file is not JSON of the expected shape.
-    #[error("{} is no configuration: {source}", path.display())]
+    /// The file is not valid JSON, or a key is missing or has a value of the wrong type.
+    #[error("{} is not a valid configuration: {source}", path.display())]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// Where and why.
+        /// The parser's error, with line and column.
         source: serde_json::Error,
     },
-    /// The file, read again, has no discovery address.
-    #[error("the file names no discovery")]
+    /// The file has no discovery address when it is reloaded.
+    #[error("discovery is missing from the configuration file")]
     NoDiscovery,
     /// A value is not an IP address with a port.
-    #[error("{name} is {value:?}; an address was expected")]
+    #[error("{name} is {value:?}; an IP address with a port was expected")]
     InvalidAddress {
-        /// The variable or the key.
+        /// The environment variable, or the key in the file.
         name: &'static str,
         /// Its value.
         value: String,
-        /// Why it cannot be parsed.
+        /// The error of the address parser.
         source: AddrParseError,
     },
-    /// The settings cannot be worked with.
+    /// The balancer rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// A class has an empty name.
-    #[error("settings give class {position} no name")]
+    #[error("class {position} in the settings has no name")]
     UnnamedClass {
-        /// Its place among the classes, from 0.
+        /// The index of the class, from 0.
         position: usize,
     },
-    /// The limit of descriptors is too low.
-    #[error("limits.sockets is below {minimum}; that is too few to serve")]
+    /// The limit on descriptors is too low.
+    #[error("limits.sockets is below the minimum of {minimum}")]
     TooFewDescriptors {
-        /// The lowest limit that is accepted.
+        /// The lowest valid limit.
         minimum: usize,
     },
-    /// The endpoint list in the file cannot be read.
-    #[error("known is no server list: {reason}")]
+    /// The endpoint list in the file is invalid.
+    #[error("known is not a valid endpoint list: {reason}")]
     InvalidEndpointList {
-        /// What the reader of lists said.
+        /// The message of the endpoint list's parser.
         reason: String,
     },
 }
--- a/agent/src/config/mod.rs
+++ b/agent/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! What the agent goes by from its start: the `PROXY_*` variables and the file that `PROXY_CONFIG` names.
+//! The agent's configuration at startup: the `PROXY_*` environment variables and the file named by `PROXY_CONFIG`.
 
 pub mod error;
 mod file;
@@ -11,69 +11,69 @@
 use balancer_settings::Names;
 use std::net::SocketAddr;
 
-/// Descriptors and memory are for small machines; a configuration that is silent about them means these.
-const DEFAULT_DESCRIPTORS: usize = 1024;
+/// The limits on descriptors and memory if the file has none. They fit small machines.
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
 const DEFAULT_MEMORY_MB: f64 = 192.0;
-/// Fewer are too few to serve.
+/// With fewer descriptors the agent cannot serve requests.
 const MIN_DESCRIPTORS: usize = 80;
-/// No process may have more open.
+/// A higher limit in the file is reduced to this one, as no process may have more open.
 const MAX_DESCRIPTORS: usize = 1 << 20;
 
-/// What a known server takes, with all that is recorded of it, in bytes (`testbed scale list` measures 1.2 to 1.6 KB),
-/// and the part of the memory that all of them may take.
-const SERVER_BYTES: u64 = 2 << 10;
-const SERVERS_SHARE: u64 = 2;
+/// Memory for each known server, with all state that is kept about it (`testbed scale list` measures 1.2 to 1.6 KB).
+const BYTES_PER_SERVER: u64 = 2 << 10;
+/// Known servers may use one half of the memory limit.
+const SERVERS_MEMORY_DIVISOR: u64 = 2;
 
-/// The part of the descriptors that clients may use for their requests, by the terms of the deployment.
-const CLIENTS_SHARE: usize = 3;
-/// The agent's name where neither the variable nor the file has one.
+/// Requests of clients may use one third of the descriptors, by the terms of the deployment.
+const REQUEST_DESCRIPTORS_DIVISOR: usize = 3;
+/// The agent's name if neither `PROXY_NAME` nor the file has one.
 const DEFAULT_NAME: &str = "agent";
 
-/// Everything that one start of the agent goes by.
+/// The validated configuration of one process of the agent.
 #[derive(Debug)]
 pub struct Config {
-    /// The agent's name, for its log.
+    /// The agent's name, as it is logged.
     pub name: String,
-    /// Where the application connects.
+    /// The address on which the agent accepts connections from clients.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// The admin address; without one there is no admin API.
+    /// The address of the admin API; without one there is no admin API.
     pub admin_address: Option<SocketAddr>,
-    /// The seed for random numbers.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// Descriptors that the process may have open.
+    /// The most descriptors that the process may have open.
     pub max_descriptors: usize,
-    /// Memory that the process may use, in MB; a second process beside it uses it too if it is shared.
+    /// The memory limit of the process in MB, or of two processes together if `is_memory_shared`.
     pub memory_mb: u64,
-    /// Whether another process may run beside this one and share its memory limit.
+    /// Whether another process of the agent may run at the same time, as during an upgrade, within the same limit.
     pub is_memory_shared: bool,
     /// The balancer's settings.
     pub settings: Settings,
-    /// The names in the settings and the limits of sockets.
+    /// The names and connection timeouts in the settings.
     pub names: Names,
-    /// Servers that may be known at once; a longer endpoint list is rejected.
+    /// The most servers that may be known at once; a longer endpoint list is rejected.
     pub max_servers: usize,
-    /// The endpoint list as the agent last had it.
+    /// The endpoint list with which the process starts: the last one that the agent had.
     pub endpoint_list: List,
 }
 
 impl Config {
-    /// Reads the configuration of this process. Variables take precedence over the file.
+    /// Reads and validates the configuration of this process. Variables take precedence over the file.
     ///
     /// # Errors
     ///
-    /// If the file cannot be read, or a value is missing or cannot be worked with.
+    /// If the file cannot be read, or a value is missing or invalid.
     pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         Self::from_file(file::read(&variable)?, variable)
     }
 
-    /// Reads the discovery address from the file as it is now. The variables were set at the start and the file has
-    /// been replaced since, so the file alone counts here.
+    /// Reads the discovery address from the current file. `PROXY_DISCOVERY` is ignored: it dates from the start of the
+    /// process, and the file may have been replaced since.
     ///
     /// # Errors
     ///
-    /// If the file cannot be read, or has no address of discovery.
+    /// If the file cannot be read, or has no valid discovery address.
     pub fn reload_discovery(variable: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, ConfigError> {
         let address = file::read::<ReloadedFile>(&variable)?.discovery.ok_or(ConfigError::NoDiscovery)?;
         parse_address("discovery", address)
@@ -93,9 +93,9 @@
         let names = balancer_settings::names(&file.settings);
         check_class_names(&names)?;
         let max_descriptors = max_descriptors(file.limits.max_descriptors)?;
-        settings.max_concurrent_requests = Some((max_descriptors / CLIENTS_SHARE) as u32);
+        settings.max_concurrent_requests = Some((max_descriptors / REQUEST_DESCRIPTORS_DIVISOR) as u32);
         let memory_mb = file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) as u64;
-        let max_servers = ((memory_mb << 20) / SERVERS_SHARE / SERVER_BYTES) as usize;
+        let max_servers = ((memory_mb << 20) / SERVERS_MEMORY_DIVISOR / BYTES_PER_SERVER) as usize;
         let endpoint_list = match file.endpoint_list {
             None => List::default(),
             Some(text) => endpoint_list::read_list(text.get().as_bytes(), max_servers)
@@ -130,14 +130,14 @@
 }
 
 fn max_descriptors(configured: Option<usize>) -> Result<usize, ConfigError> {
-    let max_descriptors = configured.unwrap_or(DEFAULT_DESCRIPTORS);
+    let max_descriptors = configured.unwrap_or(DEFAULT_MAX_DESCRIPTORS);
     if max_descriptors < MIN_DESCRIPTORS {
         return Err(ConfigError::TooFewDescriptors { minimum: MIN_DESCRIPTORS });
     }
     Ok(max_descriptors.min(MAX_DESCRIPTORS))
 }
 
-/// Hexadecimal digits are read as a number, as the platform writes them; any other text is hashed.
+/// Parses hexadecimal digits, the platform's format, as a number; any other text is hashed.
 fn seed_from_text(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| balancer_settings::fnv1a(text))
 }
--- a/agent/tests/told.rs
+++ b/agent/tests/told.rs
@@ -55,7 +55,7 @@
     let (bad, none) = (File::new("{"), PathBuf::from("/nowhere/at/all"));
     let torn = File::new(&FLEET[..FLEET.len() - 4]);
     for (config, fleet, said) in
-        [(&bad, None, "no configuration"), (&good, Some(&torn), "the last line has no end")]
+        [(&bad, None, "is not a valid configuration"), (&good, Some(&torn), "the last line has no end")]
     {
         let (code, out, wrong) = check(config, fleet, &[]).await;
         assert_eq!((code, out.as_str(), wrong.lines().count()), (Some(2), "", 1), "{wrong}");
