--- a/agent/src/config/fleet/changes.rs
+++ b/agent/src/config/fleet/changes.rs
@@ -1,16 +1,17 @@
-//! What differs between two versions of the fleet file, and whether a running process can change to the new one.
+//! Compares two versions of the fleet file, and decides whether a running process can change to the new one.
 
 use super::contents::{Contents, Membership};
 use super::error::ChangeError;
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// What a running process changes to use `new` instead of `current`, a few words for each.
+/// Describes each change from `current` to `new` in a few words.
 ///
 /// # Errors
 ///
-/// If the fleet's name, listener or state folder changes, or the agent joins or leaves a fleet.
-pub fn changes(current: &Contents, new: &Contents) -> Result<Vec<String>, ChangeError> {
+/// If the fleet's name, the listen address or the state folder changes, or `[fleet]` is added or removed: these require
+/// a new process.
+pub fn find_changes(current: &Contents, new: &Contents) -> Result<Vec<String>, ChangeError> {
     let mut changes = Vec::new();
     match (&current.membership, &new.membership) {
         (None, None) => {}
@@ -23,12 +24,12 @@
         (None, Some(_)) => return Err(ChangeError::MembershipAdded),
         (Some(_), None) => return Err(ChangeError::MembershipRemoved),
     }
-    changes.extend(differences("regions", &current.regions, &new.regions));
+    changes.extend(find_map_changes("regions", &current.regions, &new.regions));
     if current.stale_after != new.stale_after {
         changes.push(format!("shared.stale_after_ms to {}", new.stale_after.as_millis()));
     }
-    changes.extend(differences("limits.classes", &current.class_limits, &new.class_limits));
-    changes.extend(differences("limits.tenants", &current.tenant_limits, &new.tenant_limits));
+    changes.extend(find_map_changes("limits.classes", &current.class_limits, &new.class_limits));
+    changes.extend(find_map_changes("limits.tenants", &current.tenant_limits, &new.tenant_limits));
     Ok(changes)
 }
 
@@ -46,7 +47,7 @@
     Err(ChangeError::FixedKey { key, from, to })
 }
 
-fn differences<T: PartialEq + Debug>(
+fn find_map_changes<T: PartialEq + Debug>(
     section: &str,
     current: &BTreeMap<String, T>,
     new: &BTreeMap<String, T>,
@@ -54,5 +55,5 @@
     let changed = new.iter().filter(|(key, value)| current.get(*key) != Some(*value));
     let removed = current.keys().filter(|key| !new.contains_key(*key));
     let changed = changed.map(|(key, value)| format!("{section}.{key} to {value:?}"));
-    changed.chain(removed.map(|key| format!("{section}.{key} gone"))).collect()
+    changed.chain(removed.map(|key| format!("{section}.{key} removed"))).collect()
 }
--- a/agent/src/config/fleet/error.rs
+++ b/agent/src/config/fleet/error.rs
@@ -1,100 +1,100 @@
-//! What may be wrong with the fleet file, and what a running process cannot change.
+//! Errors in the fleet file, and changes to it that a running process cannot make.
 
 use std::io;
 use std::path::PathBuf;
 use std::string::FromUtf8Error;
 use thiserror::Error;
 
-/// Why a fleet file is rejected, with the file's path.
+/// The path of a fleet file and why it is rejected.
 #[derive(Debug, Error)]
 #[error("{}: {source}", path.display())]
 pub struct FleetFileError {
     /// The file.
     pub path: PathBuf,
-    /// What is wrong with it.
+    /// Why it is rejected.
     pub source: FleetError,
 }
 
-/// What is wrong with a fleet file.
+/// Why a fleet file is rejected.
 #[derive(Debug, Error)]
 pub enum FleetError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Unreadable(#[from] io::Error),
-    /// It is longer than such a file is.
-    #[error("{length} bytes; a fleet file has at most {maximum}")]
+    /// The file is too long.
+    #[error("the file has {length} bytes; the maximum is {maximum}")]
     TooLong {
-        /// Its length, in bytes.
+        /// Its length in bytes.
         length: u64,
-        /// The longest length that is read.
+        /// The maximum length in bytes.
         maximum: u64,
     },
-    /// It is not UTF-8.
-    #[error("no text: {0}")]
-    NotText(#[from] FromUtf8Error),
-    /// Its last line does not end, as in a file that is still being written.
-    #[error("the last line has no end: it may not be written whole")]
+    /// The file is not UTF-8.
+    #[error("the file is not UTF-8 text: {0}")]
+    InvalidUtf8(#[from] FromUtf8Error),
+    /// The last line does not end in a newline, as in a file that is still being written.
+    #[error("the last line does not end in a newline; the file may be incomplete")]
     Unterminated,
-    /// It is not TOML.
+    /// The file is not valid TOML.
     #[error("line {line}: {message}")]
     Syntax {
-        /// The line, from 1.
+        /// The number of the line, from 1.
         line: usize,
-        /// What the parser said, in one line.
+        /// The parser's message, without line breaks.
         message: String,
     },
-    /// A key that is needed is not there.
+    /// A required key is missing.
     #[error("{key} is missing: {purpose}")]
     Missing {
         /// The key with its section.
         key: String,
-        /// What it is needed for.
+        /// What the key is for.
         purpose: &'static str,
     },
-    /// A key has another value than it may have.
+    /// The value of a key is invalid.
     #[error("{key} is {value}; {expected} was expected")]
     InvalidValue {
         /// The key with its section.
         key: String,
         /// Its value, shortened.
         value: String,
-        /// What it may be.
+        /// A description of the valid values.
         expected: String,
     },
-    /// A key is not one of its section's.
-    #[error("{key} = {value} has no meaning; known here: {known_keys}")]
+    /// A section has an unknown key.
+    #[error("unknown key {key} = {value}; known keys: {known_keys}")]
     UnknownKey {
         /// The key with its section.
         key: String,
         /// Its value, shortened.
         value: String,
-        /// The section's keys.
+        /// The valid keys of the section.
         known_keys: String,
     },
-    /// There are too many regions.
-    #[error("regions has {count} keys; at most {maximum} are taken")]
+    /// The section `[regions]` has too many regions.
+    #[error("regions has {count} keys; the maximum is {maximum}")]
     TooManyRegions {
-        /// Their number.
+        /// The number of regions.
         count: usize,
-        /// How many there may be.
+        /// The maximum number of regions.
         maximum: usize,
     },
-    /// A region's name is empty or too long.
-    #[error("regions.{region:.80} has no name of 1 to {maximum} bytes")]
+    /// The name of a region is empty or too long.
+    #[error("regions.{region:.80}: the name of a region must have 1 to {maximum} bytes")]
     InvalidRegionName {
         /// The name.
         region: String,
-        /// The longest name, in bytes.
+        /// The maximum length of a name in bytes.
         maximum: usize,
     },
-    /// A zone is in a region twice, or in two.
-    #[error("regions.{region} has {zone:?}, which is in regions.{other} already")]
+    /// A zone is listed twice, in one region or in two.
+    #[error("regions.{region} has {zone:?}, which is already in regions.{other}")]
     RepeatedZone {
         /// The region that repeats the zone.
         region: String,
         /// The zone.
         zone: String,
-        /// The region that had it first.
+        /// The region that lists the zone first.
         other: String,
     },
     /// A limit is for a class or tenant that the settings do not have.
@@ -107,34 +107,34 @@
     },
 }
 
-/// What a running process cannot change; it takes a new one.
+/// A change that a running process cannot make; it requires a new process.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// A key of `[fleet]` has another value.
-    #[error("fleet.{key} changes from {from} to {to}; that takes a new process")]
+    /// A key of `[fleet]` that is fixed while a process runs has changed.
+    #[error("fleet.{key} changes from {from} to {to}, which requires a new process")]
     FixedKey {
         /// The key.
         key: &'static str,
-        /// Its value now.
+        /// Its current value.
         from: String,
         /// Its new value.
         to: String,
     },
-    /// There is a section `[fleet]` now.
-    #[error("[fleet] comes; that takes a new process")]
+    /// The section `[fleet]` was added.
+    #[error("[fleet] was added, which requires a new process")]
     MembershipAdded,
-    /// There is no section `[fleet]` any more.
-    #[error("[fleet] goes; that takes a new process")]
+    /// The section `[fleet]` was removed.
+    #[error("[fleet] was removed, which requires a new process")]
     MembershipRemoved,
 }
 
-/// Why a fleet file that was read again is not in force.
+/// Why a reloaded fleet file does not take effect.
 #[derive(Debug, Error)]
 pub enum ReloadError {
     /// The file is rejected.
     #[error(transparent)]
     File(#[from] FleetFileError),
-    /// The running process cannot change to it.
+    /// The file is valid, but the running process cannot make one of the changes.
     #[error(transparent)]
     Change(#[from] ChangeError),
 }
--- a/agent/src/config/fleet/mod.rs
+++ b/agent/src/config/fleet/mod.rs
@@ -1,6 +1,7 @@
-//! The fleet file, which `PROXY_FLEET` names: TOML, read strictly. Without one an agent is alone.
+//! The fleet file named by `PROXY_FLEET`: TOML, without unknown keys. Without this file an agent does not communicate
+//! with other agents.
 //!
-//! Each error is one line that names file, key and value. A file is in force as a whole or not at all.
+//! Each error is one line that names the file, the key and the value. A file takes effect as a whole or not at all.
 
 mod changes;
 pub mod contents;
@@ -13,24 +14,24 @@
 use balancer_settings::Names;
 use std::path::{Path, PathBuf};
 
-/// The longest file that is read, in bytes.
+/// A longer file is rejected before it is read.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// A fleet file and its contents in force.
+/// A fleet file and the contents that are in effect.
 #[derive(Debug)]
 pub struct Fleet {
-    /// Where it was read.
+    /// The path of the file, from which it is also reloaded.
     pub path: PathBuf,
-    /// What is in force of it.
+    /// The contents of the last valid version of the file.
     pub contents: Contents,
 }
 
 impl Fleet {
-    /// Reads a file; classes and tenants are those of `names`.
+    /// Reads and validates a file. Its limits may only be for classes and tenants in `names`.
     ///
     /// # Errors
     ///
-    /// If the file cannot be read, or its text has anything that is not understood.
+    /// If the file cannot be read, is not TOML, or has an unknown key or an invalid value.
     pub fn read(path: &Path, names: &Names) -> Result<Self, FleetFileError> {
         let path = path.to_owned();
         match read_contents(&path, names) {
@@ -39,15 +40,14 @@
         }
     }
 
-    /// Reads the file again and returns what changed, a few words for each change. After an error the contents are as
-    /// before.
+    /// Reloads the file and returns a short description of each change. After an error the contents are unchanged.
     ///
     /// # Errors
     ///
-    /// If the file cannot be read, or a running process cannot change to its contents.
+    /// If the file is rejected, or has a change that requires a new process.
     pub fn reload(&mut self, names: &Names) -> Result<Vec<String>, ReloadError> {
         let new = Fleet::read(&self.path, names)?.contents;
-        let changes = changes::changes(&self.contents, &new)?;
+        let changes = changes::find_changes(&self.contents, &new)?;
         self.contents = new;
         Ok(changes)
     }
--- a/agent/src/config/fleet/parse.rs
+++ b/agent/src/config/fleet/parse.rs
@@ -1,4 +1,4 @@
-//! From the text of a fleet file to its contents.
+//! Parses and validates the text of a fleet file.
 
 use super::contents::{Contents, Membership};
 use super::error::FleetError;
@@ -13,28 +13,30 @@
 
 /// The longest name of a fleet, region or zone, in bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// Seeds, regions and zones of a region are at most so many.
-const MAX_ITEMS: usize = 256;
-/// How long values of other agents are used where the file is silent, and the bounds of it, in milliseconds.
+/// The maximum number of seeds, of regions, and of zones in a region.
+const MAX_LIST_ITEMS: usize = 256;
+/// The default of `stale_after_ms`, the age above which values from other agents are not used.
 const DEFAULT_STALE_AFTER_MS: i64 = 2000;
-const STALE_AFTER_MS: RangeInclusive<i64> = 100..=60_000;
-/// No fleet serves more requests a second.
-const MAX_RATE: f64 = 1e9;
+/// The valid values of `stale_after_ms`.
+const STALE_AFTER_RANGE_MS: RangeInclusive<i64> = 100..=60_000;
+/// The highest valid limit; no fleet serves more requests per second.
+const MAX_REQUESTS_PER_S: f64 = 1e9;
 
-/// Parses a file; classes and tenants are those of `names`.
+/// Parses the text of a fleet file. Its limits may only be for classes and tenants in `names`.
 pub fn parse(text: &str, names: &Names) -> Result<Contents, FleetError> {
     if !text.is_empty() && !text.ends_with('\n') {
         return Err(FleetError::Unterminated);
     }
     let table: Table = text.parse().map_err(|error| syntax_error(text, &error))?;
     let mut root = Section::root(table);
-    let membership = root.take_section("fleet")?.map(membership).transpose()?;
-    let regions = root.take_section("regions")?.map(|section| regions(&section)).transpose()?;
-    let stale_after_ms = root.take_section("shared")?.map_or(Ok(DEFAULT_STALE_AFTER_MS), stale_after_ms)?;
+    let membership = root.take_section("fleet")?.map(parse_membership).transpose()?;
+    let regions = root.take_section("regions")?.map(|section| parse_regions(&section)).transpose()?;
+    let stale_after_ms =
+        root.take_section("shared")?.map_or(Ok(DEFAULT_STALE_AFTER_MS), parse_stale_after_ms)?;
     let (mut class_limits, mut tenant_limits) = (None, None);
     if let Some(mut limits) = root.take_section("limits")? {
-        class_limits = limits.take_section("classes")?.map(|section| rates(&section, &names.classes));
-        tenant_limits = limits.take_section("tenants")?.map(|section| rates(&section, &names.tenants));
+        class_limits = limits.take_section("classes")?.map(|section| parse_limits(&section, &names.classes));
+        tenant_limits = limits.take_section("tenants")?.map(|section| parse_limits(&section, &names.tenants));
         limits.finish(&["classes", "tenants"])?;
     }
     let class_limits = class_limits.transpose()?.unwrap_or_default();
@@ -56,8 +58,8 @@
     FleetError::Syntax { line, message: error.message().replace('\n', " ") }
 }
 
-fn membership(mut section: Section) -> Result<Membership, FleetError> {
-    let name = section.take_required("name", "processes of one fleet have one name")?;
+fn parse_membership(mut section: Section) -> Result<Membership, FleetError> {
+    let name = section.take_required("name", "the name that all agents of the fleet share")?;
     let name = match name.as_str() {
         Some(name) if is_fleet_name(name) => name.to_owned(),
         _ => {
@@ -65,13 +67,14 @@
             return Err(section.invalid_value("name", &name, expected));
         }
     };
-    let listen = section.take_required("listen", "where other agents reach this one")?;
-    let listen = reachable_address(&section, "listen", &listen)?;
+    let listen = section.take_required("listen", "the address at which other agents reach this one")?;
+    let listen = parse_reachable_address(&section, "listen", &listen)?;
     let seeds = match section.take("seeds") {
         None => Vec::new(),
-        Some(Value::Array(seeds)) if seeds.len() <= MAX_ITEMS => {
-            seeds.iter().map(|seed| reachable_address(&section, "seeds", seed)).collect::<Result<_, _>>()?
-        }
+        Some(Value::Array(seeds)) if seeds.len() <= MAX_LIST_ITEMS => seeds
+            .iter()
+            .map(|seed| parse_reachable_address(&section, "seeds", seed))
+            .collect::<Result<_, _>>()?,
         Some(other) => {
             return Err(section.invalid_value("seeds", &other, "a list of at most 256 addresses"));
         }
@@ -90,32 +93,32 @@
     !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(is_allowed)
 }
 
-/// An address that other agents can connect to: with a port, and of one host.
-fn reachable_address(section: &Section, key: &str, value: &Value) -> Result<SocketAddr, FleetError> {
+/// Parses an address to which other agents can connect: neither the port nor the IP address may be zero.
+fn parse_reachable_address(section: &Section, key: &str, value: &Value) -> Result<SocketAddr, FleetError> {
     let address = value.as_str().and_then(|text| text.parse::<SocketAddr>().ok());
     address.filter(|address| address.port() != 0 && !address.ip().is_unspecified()).ok_or_else(|| {
-        section.invalid_value(key, value, "an address that others reach, such as 127.0.1.4:7946")
+        section.invalid_value(key, value, "an address that other agents can reach, such as 127.0.1.4:7946")
     })
 }
 
-fn stale_after_ms(mut section: Section) -> Result<i64, FleetError> {
+fn parse_stale_after_ms(mut section: Section) -> Result<i64, FleetError> {
     let value = section.take("stale_after_ms");
     section.finish(&["stale_after_ms"])?;
     match value {
         None => Ok(DEFAULT_STALE_AFTER_MS),
-        Some(Value::Integer(ms)) if STALE_AFTER_MS.contains(&ms) => Ok(ms),
+        Some(Value::Integer(ms)) if STALE_AFTER_RANGE_MS.contains(&ms) => Ok(ms),
         Some(other) => {
-            let (least, most) = (STALE_AFTER_MS.start(), STALE_AFTER_MS.end());
-            let expected = format!("whole milliseconds from {least} to {most}");
+            let (minimum, maximum) = (STALE_AFTER_RANGE_MS.start(), STALE_AFTER_RANGE_MS.end());
+            let expected = format!("whole milliseconds from {minimum} to {maximum}");
             Err(section.invalid_value("stale_after_ms", &other, expected))
         }
     }
 }
 
-fn regions(section: &Section) -> Result<BTreeMap<String, Vec<String>>, FleetError> {
+fn parse_regions(section: &Section) -> Result<BTreeMap<String, Vec<String>>, FleetError> {
     let count = section.table().len();
-    if count > MAX_ITEMS {
-        return Err(FleetError::TooManyRegions { count, maximum: MAX_ITEMS });
+    if count > MAX_LIST_ITEMS {
+        return Err(FleetError::TooManyRegions { count, maximum: MAX_LIST_ITEMS });
     }
     let mut region_by_zone: BTreeMap<String, String> = BTreeMap::new();
     let mut regions = BTreeMap::new();
@@ -124,8 +127,8 @@
             let region = region.clone();
             return Err(FleetError::InvalidRegionName { region, maximum: MAX_NAME_BYTES });
         }
-        let zones = zone_names(value)
-            .ok_or_else(|| section.invalid_value(region, value, "a list of 1 to 256 zones' names"))?;
+        let zones = parse_zone_names(value)
+            .ok_or_else(|| section.invalid_value(region, value, "a list of 1 to 256 zone names"))?;
         for zone in &zones {
             if let Some(other) = region_by_zone.insert(zone.clone(), region.clone()) {
                 let (region, zone) = (region.clone(), zone.clone());
@@ -137,25 +140,26 @@
     Ok(regions)
 }
 
-fn zone_names(value: &Value) -> Option<Vec<String>> {
-    let zones = value.as_array().filter(|zones| !zones.is_empty() && zones.len() <= MAX_ITEMS)?;
+fn parse_zone_names(value: &Value) -> Option<Vec<String>> {
+    let zones = value.as_array().filter(|zones| !zones.is_empty() && zones.len() <= MAX_LIST_ITEMS)?;
     let is_zone_name = |name: &&str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
     zones.iter().map(|zone| zone.as_str().filter(is_zone_name).map(str::to_owned)).collect()
 }
 
-/// Requests a second, by the names of classes or tenants.
-fn rates(section: &Section, known_names: &[String]) -> Result<BTreeMap<String, f64>, FleetError> {
-    let mut rates = BTreeMap::new();
+/// Parses the limits of a section in requests per second, by the name of the class or tenant.
+fn parse_limits(section: &Section, known_names: &[String]) -> Result<BTreeMap<String, f64>, FleetError> {
+    let mut limits_by_name = BTreeMap::new();
     for (name, value) in section.table() {
         if !known_names.contains(name) {
             let (key, known_names) = (section.full_key(name), known_names.join(", "));
             return Err(FleetError::UnknownName { key, known_names });
         }
-        let rate = value.as_float().or(value.as_integer().map(|rate| rate as f64));
-        let rate = rate
-            .filter(|rate| (0.0..=MAX_RATE).contains(rate))
-            .ok_or_else(|| section.invalid_value(name, value, "requests a second, from 0 to 1e9"))?;
-        rates.insert(name.clone(), rate);
+        let requests_per_s =
+            value.as_float().or(value.as_integer().map(|requests_per_s| requests_per_s as f64));
+        let requests_per_s = requests_per_s
+            .filter(|requests_per_s| (0.0..=MAX_REQUESTS_PER_S).contains(requests_per_s))
+            .ok_or_else(|| section.invalid_value(name, value, "requests per second, from 0 to 1e9"))?;
+        limits_by_name.insert(name.clone(), requests_per_s);
     }
-    Ok(rates)
+    Ok(limits_by_name)
 }
--- a/agent/src/config/fleet/section.rs
+++ b/agent/src/config/fleet/section.rs
@@ -1,31 +1,31 @@
-//! A section of the fleet file, read strictly: each key once, and none that has no meaning.
+//! A section of the fleet file whose keys are removed as they are read, so that unknown keys are found.
 
 use super::error::FleetError;
 use toml::{Table, Value};
 
-/// The longest value that an error shows, and the longest key, in characters.
+/// The most characters of a key or a value that an error message contains.
 const MAX_SHOWN_CHARS: usize = 80;
-/// Ends a value that an error shows in part.
+/// The end of a shortened value in an error message.
 const ELLIPSIS: &str = "...";
 
-/// A table of the file, and the path of keys at which it stands.
+/// A table of the file, without the keys that were taken, and its dotted path; the path of the root is empty.
 pub struct Section {
     path: String,
     table: Table,
 }
 
 impl Section {
-    /// The whole file.
+    /// The root table of the file.
     pub fn root(table: Table) -> Self {
         Section { path: String::new(), table }
     }
 
-    /// What of the section has not been taken yet.
+    /// The keys that have not been taken yet.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// A key with the path of the section.
+    /// The dotted path of a key, as error messages show it. A long key is cut off.
     pub fn full_key(&self, key: &str) -> String {
         if self.path.is_empty() {
             format!("{key:.MAX_SHOWN_CHARS$}")
@@ -34,17 +34,17 @@
         }
     }
 
-    /// Takes a key's value out of the section.
+    /// Removes a key and returns its value, if it is there.
     pub fn take(&mut self, key: &str) -> Option<Value> {
         self.table.remove(key)
     }
 
-    /// Takes a value that has to be there.
+    /// Removes a required key and returns its value; `purpose` explains the key if it is missing.
     pub fn take_required(&mut self, key: &str, purpose: &'static str) -> Result<Value, FleetError> {
         self.take(key).ok_or_else(|| FleetError::Missing { key: self.full_key(key), purpose })
     }
 
-    /// Takes a section within this one.
+    /// Removes a subsection and returns it, if it is there; an error if the key is not a table.
     pub fn take_section(&mut self, key: &str) -> Result<Option<Section>, FleetError> {
         match self.take(key) {
             None => Ok(None),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Checks that no key is left, after all `known_keys` were taken.
+    /// Fails if a key is left after all `known_keys` were taken.
     pub fn finish(&self, known_keys: &[&str]) -> Result<(), FleetError> {
         match self.table.iter().next() {
             None => Ok(()),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The error for a key whose value is not what was expected.
+    /// Returns the error for a key with an invalid value.
     pub fn invalid_value(&self, key: &str, value: &Value, expected: impl Into<String>) -> FleetError {
         let (key, value) = (self.full_key(key), shorten(value));
         FleetError::InvalidValue { key, value, expected: expected.into() }
--- a/agent/tests/told.rs
+++ b/agent/tests/told.rs
@@ -54,9 +54,10 @@
 
     let (bad, none) = (File::new("{"), PathBuf::from("/nowhere/at/all"));
     let torn = File::new(&FLEET[..FLEET.len() - 4]);
-    for (config, fleet, said) in
-        [(&bad, None, "is not a valid configuration"), (&good, Some(&torn), "the last line has no end")]
-    {
+    for (config, fleet, said) in [
+        (&bad, None, "is not a valid configuration"),
+        (&good, Some(&torn), "the last line does not end in a newline"),
+    ] {
         let (code, out, wrong) = check(config, fleet, &[]).await;
         assert_eq!((code, out.as_str(), wrong.lines().count()), (Some(2), "", 1), "{wrong}");
         assert!(wrong.contains(said), "{wrong}");
@@ -100,7 +101,7 @@
     agent.says("nothing changed").await;
     fleet.write(&FLEET[..FLEET.len() - 9]);
     agent.hang_up().await;
-    assert!(agent.says("is not taken").await.contains("the last line has no end"));
+    assert!(agent.says("is not taken").await.contains("the last line does not end in a newline"));
     fleet.write(&FLEET.replace("name = \"t\"", "name = \"u\""));
     agent.hang_up().await;
     assert!(agent.says("is not taken").await.contains("fleet.name changes from t to u"));
