--- a/src/selection/weights.rs
+++ b/src/selection/weights.rs
@@ -119,10 +119,10 @@
         let listed_weight =
             if self.settings.weights == Weights::Capacity { server.endpoint.weight } else { 1.0 };
         let capacity = if listed_weight.is_finite() && listed_weight > 0.0 { listed_weight } else { 1.0 };
-        let requests = server.report.expected(now, fleet.load_reports.mean());
+        let requests = server.report.estimated_requests(now, fleet.load_reports.mean());
         let latency = fleet.latencies.expected(server.endpoint.kind, &server.latency);
         let prices = &self.settings.prices;
-        let has_idle = server.connections.has_idle(now, self.settings.keepalive);
+        let has_idle = server.connections.has_reusable_connection(now, self.settings.keepalive);
         let idle_preference =
             if has_idle { PERCENT * IDLE_CONNECTION_PREFERENCE_PER_PERCENT * prices.handshake } else { 0.0 };
         let is_own_zone = server.endpoint.zone == self.settings.zone;
