--- a/settings/tests/settings_object.rs
+++ b/settings/tests/settings_object.rs
@@ -13,7 +13,8 @@
     (settings(&params), names(&params))
 }
 
-/// An object with every key. Values differ from the defaults, so that a key that is not read shows.
+/// An object with every key. Values differ from those of absent keys, so that a key that is not read fails the test. Only
+/// `cancel` is false either way.
 fn complete_object() -> Value {
     json!({
         "balancers": 7,
