--- a/agent/src/upstream/attempt.rs
+++ b/agent/src/upstream/attempt.rs
@@ -82,8 +82,8 @@
             () = deadline => AttemptEnd::TimedOut,
         };
         // A client that sends no more has ended it, and neither the server nor the network.
-        let is_unsent = progress.is_cancelled.get() || body.is_some_and(|body| body.has_failed());
-        let outcome = end.outcome(progress.may_have_executed(), is_unsent);
+        let is_stopped_locally = progress.is_cancelled.get() || body.is_some_and(|body| body.has_failed());
+        let outcome = end.outcome(progress.may_have_executed(), is_stopped_locally);
         let error = match end {
             AttemptEnd::Failed(error) => Some(error),
             AttemptEnd::Cancelled | AttemptEnd::TimedOut => None,
@@ -109,14 +109,14 @@
         let request = if self.pool.is_current(&connection) { build_request() } else { None };
         let Some(mut request) = request else {
             self.pool.check_in(connection);
-            return Err(AttemptError::TooLate);
+            return Err(AttemptError::Obsolete);
         };
-        self.start_request(server, &connection, &mut request, progress);
+        self.track_request(server, &connection, &mut request, progress);
         Ok(self.exchanger.exchange(connection, request).await?)
     }
 
     /// Makes the progress of a request visible before its first byte.
-    fn start_request(
+    fn track_request(
         &self,
         server: ServerId,
         connection: &PooledConnection,
@@ -124,10 +124,10 @@
         progress: &AttemptProgress,
     ) {
         let counter = &connection.http.counter;
-        let length = min_request_bytes(request);
-        let on_wire = counter.start_request(length, server, self.metrics.clone());
+        let request_bytes = min_request_bytes(request);
+        let on_wire = counter.track_request(request_bytes, server, self.metrics.clone());
         *progress.request.borrow_mut() = Some(on_wire.clone());
-        if length.is_none() {
+        if request_bytes.is_none() {
             request.body_mut().set_on_end(move || on_wire.end_with_next_byte());
         }
         let was_used = counter.written() > 0;
@@ -137,8 +137,8 @@
 
 impl AttemptEnd {
     /// The outcome. Whether a broken attempt may have executed rests on the bytes that went out and on nothing else.
-    /// `is_unsent` says that the agent or the client kept the request from being sent.
-    fn outcome(&self, may_have_executed: bool, is_unsent: bool) -> Outcome {
+    /// `is_stopped_locally` says that the agent or the client kept the request from being sent.
+    fn outcome(&self, may_have_executed: bool, is_stopped_locally: bool) -> Outcome {
         let outcome = match self {
             AttemptEnd::Failed(error) => error.outcome(),
             AttemptEnd::Cancelled => Some(Outcome::Cancelled),
@@ -146,7 +146,7 @@
         };
         if may_have_executed {
             outcome.unwrap_or(Outcome::ConnectionReset)
-        } else if is_unsent || outcome == Some(Outcome::NotSent) {
+        } else if is_stopped_locally || outcome == Some(Outcome::NotSent) {
             Outcome::NotSent
         } else {
             Outcome::ConnectFailed
@@ -158,12 +158,13 @@
 /// without a known length has ended.
 fn min_request_bytes(request: &Request<AttemptBody>) -> Option<u64> {
     let uri = request.uri();
-    let query = uri.query().map_or(0, |query| query.len() + "?".len());
-    let line = request.method().as_str().len() + " ".len() + uri.path().len() + query + " HTTP/1.1\r\n".len();
-    let header_bytes = |(name, value): (&hyper::header::HeaderName, &hyper::header::HeaderValue)| {
+    let query_bytes = uri.query().map_or(0, |query| query.len() + "?".len());
+    let request_line_bytes =
+        request.method().as_str().len() + " ".len() + uri.path().len() + query_bytes + " HTTP/1.1\r\n".len();
+    let header_line_bytes = |(name, value): (&hyper::header::HeaderName, &hyper::header::HeaderValue)| {
         name.as_str().len() + value.len() + ": \r\n".len()
     };
-    let headers: usize = request.headers().iter().map(header_bytes).sum();
-    let body = request.body().size_hint().exact()?;
-    Some((line + headers + "\r\n".len()) as u64 + body)
+    let header_section_bytes: usize = request.headers().iter().map(header_line_bytes).sum();
+    let body_bytes = request.body().size_hint().exact()?;
+    Some((request_line_bytes + header_section_bytes + "\r\n".len()) as u64 + body_bytes)
 }
--- a/agent/src/upstream/client/tests.rs
+++ b/agent/src/upstream/client/tests.rs
@@ -3,24 +3,31 @@
 
 /// A server whose connects fail becomes an outlier; one that the agent has no descriptor for must not.
 #[tokio::test]
-async fn an_attempt_without_a_connection_slot_was_not_sent() {
+async fn attempt_without_connection_slot_is_not_sent() {
     // Nobody listens there, and nobody else can while this socket is open.
-    let unused = tokio::net::TcpSocket::new_v4().expect("a socket");
-    unused.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-    let dial = unused.local_addr().expect("an address").to_string();
+    let unused_port = tokio::net::TcpSocket::new_v4().expect("a socket");
+    unused_port.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
+    let dial = unused_port.local_addr().expect("an address").to_string();
     let endpoint = serde_json::json!({"host": "s", "dial": dial, "site": "a", "health": "up"});
     let list = serde_json::json!({"seq": 1, "whole": true, "hosts": [endpoint]});
     let list = crate::endpoint_list::read_list(list.to_string().as_bytes(), 1).expect("a list");
-    let wait = Duration::from_secs(10);
-    for (slots, outcome) in [(0, Outcome::NotSent), (1, Outcome::ConnectFailed)] {
+    let long_timeout = Duration::from_secs(10);
+    for (max_connections, outcome) in [(0, Outcome::NotSent), (1, Outcome::ConnectFailed)] {
         let budget = Rc::new(MemoryBudget::for_process(32, false));
-        let upstream = Rc::new(UpstreamClient::new(slots, Metrics::new(1), budget, wait, wait, Vec::new()));
+        let upstream = Rc::new(UpstreamClient::new(
+            max_connections,
+            Metrics::new(1),
+            budget,
+            long_timeout,
+            long_timeout,
+            Vec::new(),
+        ));
         upstream.update_endpoint(ServerId(1), &list.hosts[0]);
         let request = Request::get("/a").header("host", "s").body(AttemptBody::default()).expect("a request");
         let progress = AttemptProgress::default();
-        let deadline = tokio::time::sleep(wait);
+        let deadline = tokio::time::sleep(long_timeout);
         let attempt = upstream.send_attempt(ServerId(1), || Some(request), None, deadline, &progress);
         let result = tokio::task::LocalSet::new().run_until(attempt).await;
-        assert_eq!(result.outcome, outcome, "with {slots} slots");
+        assert_eq!(result.outcome, outcome, "with {max_connections} slots");
     }
 }
--- a/agent/src/upstream/connect.rs
+++ b/agent/src/upstream/connect.rs
@@ -18,7 +18,7 @@
 }
 
 /// Opens a connection to `address`, with no time limit of its own. Only errors of the calls that start it can be local:
-/// what comes later has come from the network, also where it has the same number.
+/// what comes later has come from the network, also where it has the same errno.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, ConnectError> {
     let socket = start_connect(address).map_err(|error| match is_local(&error) {
         true => ConnectError::Local(error),
@@ -43,5 +43,5 @@
 /// Whether `socket` or `connect` failed before anything went out (connect(2)).
 fn is_local(error: &io::Error) -> bool {
     let local_errors = [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EINTR];
-    is_resource_exhaustion(error) || error.raw_os_error().is_some_and(|number| local_errors.contains(&number))
+    is_resource_exhaustion(error) || error.raw_os_error().is_some_and(|errno| local_errors.contains(&errno))
 }
--- a/agent/src/upstream/connection.rs
+++ b/agent/src/upstream/connection.rs
@@ -29,10 +29,10 @@
         let counter = Rc::<WriteCounter>::default();
         let io = CountingSocket::new(socket.clone(), counter.clone());
         let handshake = Builder::new().max_buf_size(HTTP_BUFFER_BYTES).handshake(io).await;
-        let (sender, driven) = handshake.map_err(|error| ConnectError::Remote(io::Error::other(error)))?;
+        let (sender, driver) = handshake.map_err(|error| ConnectError::Remote(io::Error::other(error)))?;
         let task = tokio::task::spawn_local(async move {
             // How it ended shows at the sender and in the bytes written.
-            let _ = driven.await;
+            let _ = driver.await;
         });
         Ok(HttpConnection { sender, socket, counter, task })
     }
--- a/agent/src/upstream/discovery.rs
+++ b/agent/src/upstream/discovery.rs
@@ -15,11 +15,12 @@
 
 /// What a watch that has fallen silent misses counts as notified this long after that (the operators' page of standing
 /// rules). By then another watch must have brought it.
-const NOTIFIED_AFTER_SILENCE: Duration = Duration::from_secs(6);
+const SILENT_WATCH_GRACE_PERIOD: Duration = Duration::from_secs(6);
 /// How long a watch waits for changes: so short that a watch that falls silent, and the one in its place as well, are found
 /// out before what both miss counts as notified. A discovery that all agents call answers those opened anew in turn, which
 /// takes the rest of that time.
-const WATCH_WAIT: Duration = NOTIFIED_AFTER_SILENCE.checked_div(2).unwrap().saturating_sub(SILENCE_TIMEOUT);
+const WATCH_WAIT: Duration =
+    SILENT_WATCH_GRACE_PERIOD.checked_div(2).unwrap().saturating_sub(SILENCE_TIMEOUT);
 
 /// The calls to discovery; at most one watch and one fetch of the complete list at a time.
 pub struct DiscoveryClient {
--- a/agent/src/upstream/discovery/call.rs
+++ b/agent/src/upstream/discovery/call.rs
@@ -19,10 +19,10 @@
 
 /// What a watch that has fallen silent misses counts as notified at the latest this long after its wait is over (the
 /// operators' page of standing rules). By then another watch must have brought it.
-const NOTIFIED_AFTER_WAIT: Duration = Duration::from_secs(2);
-/// A call that has said nothing this long after it should have is silent: half of [`NOTIFIED_AFTER_WAIT`] for finding
+const POST_WAIT_GRACE_PERIOD: Duration = Duration::from_secs(2);
+/// A call that has said nothing this long after it should have is silent: half of [`POST_WAIT_GRACE_PERIOD`] for finding
 /// that out, the other half for opening a watch anew.
-pub const SILENCE_TIMEOUT: Duration = NOTIFIED_AFTER_WAIT.checked_div(2).unwrap();
+pub const SILENCE_TIMEOUT: Duration = POST_WAIT_GRACE_PERIOD.checked_div(2).unwrap();
 /// A long response gets another [`SILENCE_TIMEOUT`] for each so many bytes: as many as a body may have (the protocol
 /// page), which have always had to come within that.
 const BYTES_PER_SILENCE_TIMEOUT: u32 = 64 << 10;
@@ -98,14 +98,14 @@
         let deadline = started + wait + SILENCE_TIMEOUT;
         let result = self.exchange(&mut connection, path, deadline, &mut reader).await;
         let entries = reader.entries();
-        let result = result.and_then(|()| end_list(reader));
+        let result = result.and_then(|()| finish_list(reader));
         let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
         match result {
             Ok(envelope) => {
                 // A watch without changes says nothing here either.
                 if envelope.is_complete || entries > 0 {
-                    let what = if envelope.is_complete { "the whole list" } else { "changes" };
-                    tracing::info!(target: "discovery", "{what} to {}, {entries} entries, after {elapsed_ms:.1} ms", envelope.seq);
+                    let content = if envelope.is_complete { "the whole list" } else { "changes" };
+                    tracing::info!(target: "discovery", "{content} to {}, {entries} entries, after {elapsed_ms:.1} ms", envelope.seq);
                 }
                 self.apply(envelope).await;
                 self.connection = connection;
@@ -141,7 +141,9 @@
         if connection.as_ref().is_none_or(|connection| connection.sender.is_closed()) {
             *connection = Some(connect(self.target, deadline).await?);
         }
-        let Some(Connection { sender, .. }) = connection else { return Err(CallError::ConnectTimeout) };
+        let Some(Connection { sender, .. }) = connection else {
+            return Err(CallError::DeadlineBeforeConnect);
+        };
         let response = async {
             sender.ready().await?;
             let request = Request::get(path).header("host", self.target.address.to_string());
@@ -164,10 +166,10 @@
         reader: &mut Reader,
     ) -> Result<(), CallError> {
         loop {
-            let earned = reader.bytes() as f64 / f64::from(BYTES_PER_SILENCE_TIMEOUT);
-            let paced = deadline + SILENCE_TIMEOUT.mul_f64(earned);
-            let until = deadline.max(paced.min(Instant::now() + SILENCE_TIMEOUT));
-            let frame = timeout_at(until, body.frame()).await.map_err(|_| CallError::BodyTimeout)?;
+            let extra_timeouts = reader.bytes() as f64 / f64::from(BYTES_PER_SILENCE_TIMEOUT);
+            let paced_deadline = deadline + SILENCE_TIMEOUT.mul_f64(extra_timeouts);
+            let read_deadline = deadline.max(paced_deadline.min(Instant::now() + SILENCE_TIMEOUT));
+            let frame = timeout_at(read_deadline, body.frame()).await.map_err(|_| CallError::BodyTimeout)?;
             let Some(frame) = frame else { return Ok(()) };
             let Ok(data) = frame?.into_data() else { continue };
             self.read_entries(&data, reader).await.map_err(CallError::MalformedList)?;
@@ -192,7 +194,7 @@
 
 /// What is said of the list as such, once its response has ended. Half a list has failed; a complete one that is
 /// unusable is malformed.
-fn end_list(reader: Reader) -> Result<Envelope, CallError> {
+fn finish_list(reader: Reader) -> Result<Envelope, CallError> {
     let is_complete = reader.is_complete();
     reader.end().map_err(|error| match is_complete {
         true => CallError::MalformedList(error),
@@ -202,12 +204,12 @@
 
 async fn connect(target: Target, deadline: Instant) -> Result<Connection, CallError> {
     let connect = timeout(target.connect_timeout, TcpStream::connect(target.address));
-    let connected = timeout_at(deadline, connect).await.map_err(|_| CallError::ConnectTimeout)?;
+    let connected = timeout_at(deadline, connect).await.map_err(|_| CallError::DeadlineBeforeConnect)?;
     let stream = connected.map_err(io::Error::from).and_then(|stream| stream).map_err(CallError::Connect)?;
-    let (sender, driven) = handshake(TokioIo::new(Socket::new(stream))).await?;
+    let (sender, driver) = handshake(TokioIo::new(Socket::new(stream))).await?;
     let task = tokio::task::spawn_local(async move {
         // Its end shows at the sender.
-        let _ = driven.await;
+        let _ = driver.await;
     });
     Ok(Connection { sender, _task: TaskGuard(task) })
 }
--- a/agent/src/upstream/discovery/errors.rs
+++ b/agent/src/upstream/discovery/errors.rs
@@ -12,7 +12,7 @@
     Connect(#[source] io::Error),
     /// The call's time was over before the connection was open.
     #[error("no connection")]
-    ConnectTimeout,
+    DeadlineBeforeConnect,
     /// No head of a response came in time.
     #[error("no answer")]
     ResponseTimeout,
--- a/agent/src/upstream/errors.rs
+++ b/agent/src/upstream/errors.rs
@@ -63,7 +63,7 @@
     Cancelled,
     /// By the time its connection was open it was not to be sent any more.
     #[error("too late to begin")]
-    TooLate,
+    Obsolete,
     /// Its exchange broke.
     #[error(transparent)]
     Exchange(#[from] ExchangeError),
@@ -74,7 +74,7 @@
     pub fn outcome(&self) -> Option<Outcome> {
         match self {
             AttemptError::Connection(error) => Some(error.outcome()),
-            AttemptError::TooLate => Some(Outcome::NotSent),
+            AttemptError::Obsolete => Some(Outcome::NotSent),
             AttemptError::Cancelled | AttemptError::Exchange(_) => None,
         }
     }
--- a/agent/src/upstream/exchange.rs
+++ b/agent/src/upstream/exchange.rs
@@ -19,7 +19,7 @@
 
 /// A response of unknown length is held back for this long after its head: one that breaks off by then is retried
 /// elsewhere, and one that goes on is passed on as it comes.
-const HOLD_BACK: Duration = Duration::from_millis(50);
+const UNKNOWN_LENGTH_BUFFER_TIME: Duration = Duration::from_millis(50);
 
 /// How an exchange ended.
 pub struct ExchangeResult {
@@ -87,7 +87,7 @@
         mut connection: PooledConnection,
         request: Request<AttemptBody>,
     ) -> Result<ExchangeResult, ExchangeError> {
-        let is_head = request.method() == Method::HEAD;
+        let is_head_request = request.method() == Method::HEAD;
         let response = connection.http.sender.send_request(request).await?;
         let result = self.classify(&response);
         let (head, body) = response.into_parts();
@@ -97,7 +97,7 @@
         }
         let response = ServedResponse {
             content_type: head.headers.get(CONTENT_TYPE).cloned(),
-            content_length: head.headers.get(CONTENT_LENGTH).filter(|_| is_head).cloned(),
+            content_length: head.headers.get(CONTENT_LENGTH).filter(|_| is_head_request).cloned(),
             body: self.read_body(connection, body).await?,
         };
         Ok(ExchangeResult { response: Some(response), ..result })
@@ -114,10 +114,10 @@
             }
             _ => Outcome::ServerError,
         };
-        let report = response.headers().get("x-server-load").and_then(|value| value.to_str().ok());
+        let report_header = response.headers().get("x-server-load").and_then(|value| value.to_str().ok());
         ExchangeResult {
             status: Some(response.status()),
-            load_report: report.and_then(|text| parse_load_report(text, &self.load_report_fields)),
+            load_report: report_header.and_then(|text| parse_load_report(text, &self.load_report_fields)),
             ..ExchangeResult::without_response(outcome)
         }
     }
@@ -149,8 +149,8 @@
                 .budget
                 .reserve_response(length.map_or(MAX_BUFFERED_BODY_BYTES, |length| length as usize))
                 .await?;
-            let until = length.is_none().then(|| Instant::now() + HOLD_BACK);
-            if read_short_body(&mut body, &mut chunks, until).await? {
+            let deadline = length.is_none().then(|| Instant::now() + UNKNOWN_LENGTH_BUFFER_TIME);
+            if read_short_body(&mut body, &mut chunks, deadline).await? {
                 self.pool.check_in_when_ready(connection).await;
                 return Ok(ResponseBody::complete(concatenate(chunks), Some(reservation)));
             }
@@ -168,13 +168,13 @@
 async fn read_short_body(
     body: &mut Incoming,
     chunks: &mut VecDeque<Bytes>,
-    until: Option<Instant>,
+    deadline: Option<Instant>,
 ) -> Result<bool, hyper::Error> {
     let mut size = 0;
     while size <= MAX_BUFFERED_BODY_BYTES {
-        let frame = match until {
+        let frame = match deadline {
             None => body.frame().await,
-            Some(until) => match timeout_at(until, body.frame()).await {
+            Some(deadline) => match timeout_at(deadline, body.frame()).await {
                 Ok(frame) => frame,
                 Err(_) => return Ok(false),
             },
--- a/agent/src/upstream/pool.rs
+++ b/agent/src/upstream/pool.rs
@@ -36,7 +36,7 @@
 struct ConnectionSlot(Rc<Cell<usize>>);
 
 impl ConnectionSlot {
-    fn take(used: &Rc<Cell<usize>>) -> Self {
+    fn acquire(used: &Rc<Cell<usize>>) -> Self {
         used.set(used.get() + 1);
         ConnectionSlot(used.clone())
     }
@@ -49,7 +49,7 @@
 }
 
 /// A server as the endpoint list last described it, and its idle connections, the least recently used first.
-struct Server {
+struct ServerEntry {
     address: Option<SocketAddr>,
     born_ms: f64,
     /// Counts its processes and addresses; connections of an earlier one are not used again.
@@ -59,7 +59,7 @@
 }
 
 /// What a new connection needs to know of its server.
-struct Target {
+struct ConnectTarget {
     server: ServerId,
     address: SocketAddr,
     incarnation: u64,
@@ -67,7 +67,7 @@
 
 /// All servers and the connections to them.
 pub struct ConnectionPool {
-    servers: RefCell<HashMap<ServerId, Server>>,
+    servers: RefCell<HashMap<ServerId, ServerEntry>>,
     /// Servers with idle connections, and perhaps some that had: evicting must not walk all the others.
     servers_with_idle: RefCell<HashSet<ServerId>>,
     used_slots: Rc<Cell<usize>>,
@@ -99,23 +99,23 @@
     /// or is removed keeps no idle ones.
     pub fn update_endpoint(&self, server: ServerId, host: &Host) {
         let mut servers = self.servers.borrow_mut();
-        let known = servers.entry(server).or_insert_with(|| Server {
+        let server_entry = servers.entry(server).or_insert_with(|| ServerEntry {
             address: host.dial,
             born_ms: host.born_ms,
             incarnation: 0,
             is_up: true,
             idle: Vec::new(),
         });
-        let has_moved = host.dial.is_some() && host.dial != known.address;
-        if has_moved || host.born_ms != known.born_ms {
-            known.incarnation += 1;
-            known.idle.clear();
-            known.address = host.dial.or(known.address);
-            known.born_ms = host.born_ms;
+        let has_new_address = host.dial.is_some() && host.dial != server_entry.address;
+        if has_new_address || host.born_ms != server_entry.born_ms {
+            server_entry.incarnation += 1;
+            server_entry.idle.clear();
+            server_entry.address = host.dial.or(server_entry.address);
+            server_entry.born_ms = host.born_ms;
         }
-        known.is_up = host.health == Health::Up;
-        if !known.is_up {
-            known.idle.clear();
+        server_entry.is_up = host.health == Health::Up;
+        if !server_entry.is_up {
+            server_entry.idle.clear();
         }
     }
 
@@ -126,8 +126,8 @@
 
     /// Closes the idle connections to a server.
     pub fn close_idle(&self, server: ServerId) {
-        if let Some(known) = self.servers.borrow_mut().get_mut(&server) {
-            known.idle.clear();
+        if let Some(server_entry) = self.servers.borrow_mut().get_mut(&server) {
+            server_entry.idle.clear();
         }
     }
 
@@ -135,9 +135,11 @@
     pub fn evict_idle(&self) {
         let mut servers = self.servers.borrow_mut();
         self.servers_with_idle.borrow_mut().retain(|server| {
-            let Some(known) = servers.get_mut(server) else { return false };
-            known.idle.retain(|c| c.idle_since.elapsed() < self.max_idle && !c.http.sender.is_closed());
-            !known.idle.is_empty()
+            let Some(server_entry) = servers.get_mut(server) else { return false };
+            server_entry
+                .idle
+                .retain(|c| c.idle_since.elapsed() < self.max_idle && !c.http.sender.is_closed());
+            !server_entry.idle.is_empty()
         });
     }
 
@@ -146,8 +148,8 @@
         if let Some(connection) = self.take_idle(server) {
             return Ok(connection);
         }
-        let target = self.target(server).ok_or(ConnectionError::NoAddress)?;
-        let slot = self.take_slot().ok_or(ConnectionError::NoSlot)?;
+        let target = self.connect_target(server).ok_or(ConnectionError::NoAddress)?;
+        let slot = self.acquire_slot().ok_or(ConnectionError::NoSlot)?;
         // A task of its own: when its attempt is cancelled meanwhile, the connection, which has cost the server work by
         // then, serves the next one.
         let (sender, receiver) = oneshot::channel();
@@ -163,8 +165,8 @@
 
     fn take_idle(&self, server: ServerId) -> Option<PooledConnection> {
         let mut servers = self.servers.borrow_mut();
-        let known = servers.get_mut(&server)?;
-        while let Some(connection) = known.idle.pop() {
+        let server_entry = servers.get_mut(&server)?;
+        while let Some(connection) = server_entry.idle.pop() {
             let is_ready =
                 connection.idle_since.elapsed() < self.max_idle && connection.http.sender.is_ready();
             // Its end, or half a line, may have come without the connection's task having run since.
@@ -175,13 +177,17 @@
         None
     }
 
-    fn target(&self, server: ServerId) -> Option<Target> {
+    fn connect_target(&self, server: ServerId) -> Option<ConnectTarget> {
         let servers = self.servers.borrow();
-        let known = servers.get(&server)?;
-        Some(Target { server, address: known.address?, incarnation: known.incarnation })
+        let server_entry = servers.get(&server)?;
+        Some(ConnectTarget { server, address: server_entry.address?, incarnation: server_entry.incarnation })
     }
 
-    async fn open(&self, target: Target, slot: ConnectionSlot) -> Result<PooledConnection, ConnectionError> {
+    async fn open(
+        &self,
+        target: ConnectTarget,
+        slot: ConnectionSlot,
+    ) -> Result<PooledConnection, ConnectionError> {
         let opened = timeout(self.connect_timeout, HttpConnection::open(target.address)).await;
         let http = opened.map_err(|_| ConnectionError::TimedOut)??;
         Ok(PooledConnection {
@@ -194,7 +200,7 @@
     }
 
     /// A slot for one more connection; if all are used, the least recently used idle connection is closed for it.
-    fn take_slot(&self) -> Option<ConnectionSlot> {
+    fn acquire_slot(&self) -> Option<ConnectionSlot> {
         if self.open_connections() >= self.max_connections {
             let mut servers = self.servers.borrow_mut();
             let oldest_idle = |server: &ServerId| servers.get(server)?.idle.first().map(|c| c.idle_since);
@@ -203,24 +209,26 @@
             let (_, server) = oldest?;
             servers.get_mut(&server)?.idle.remove(0);
         }
-        Some(ConnectionSlot::take(&self.used_slots))
+        Some(ConnectionSlot::acquire(&self.used_slots))
     }
 
     /// Whether a connection leads to the process and address that its server has now.
     pub fn is_current(&self, connection: &PooledConnection) -> bool {
         let servers = self.servers.borrow();
-        servers.get(&connection.server).is_some_and(|known| known.incarnation == connection.incarnation)
+        servers
+            .get(&connection.server)
+            .is_some_and(|server_entry| server_entry.incarnation == connection.incarnation)
     }
 
     /// Keeps an unused connection for another attempt, if its server still takes any there.
     pub fn check_in(&self, mut connection: PooledConnection) {
         let is_current = self.is_current(&connection);
         let mut servers = self.servers.borrow_mut();
-        let Some(known) = servers.get_mut(&connection.server) else { return };
-        if known.is_up && is_current && !connection.http.sender.is_closed() {
+        let Some(server_entry) = servers.get_mut(&connection.server) else { return };
+        if server_entry.is_up && is_current && !connection.http.sender.is_closed() {
             connection.idle_since = Instant::now();
             self.servers_with_idle.borrow_mut().insert(connection.server);
-            known.idle.push(connection);
+            server_entry.idle.push(connection);
         }
     }
 
--- a/agent/src/upstream/pool/tests.rs
+++ b/agent/src/upstream/pool/tests.rs
@@ -10,18 +10,19 @@
 /// A server ends an idle connection, or says half a line on it, in the moment before its next use; the
 /// connection's task has not run since, so only the system knows.
 #[tokio::test]
-async fn a_connection_that_ended_just_now_is_not_used() {
+async fn connection_with_pending_input_is_not_reused() {
     use std::io::{Read as _, Write as _};
-    let wait = Duration::from_secs(10);
-    let get = || Request::get("/a").header("host", "s").body(AttemptBody::default()).expect("a request");
-    for end in [None, Some(&b"HTTP/1.1 40"[..])] {
+    let long_timeout = Duration::from_secs(10);
+    let build_get =
+        || Request::get("/a").header("host", "s").body(AttemptBody::default()).expect("a request");
+    for input in [None, Some(&b"HTTP/1.1 40"[..])] {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let dial = listener.local_addr().expect("an address").to_string();
         let endpoint = serde_json::json!({"host": "s", "dial": dial, "site": "a", "health": "up"});
         let list = serde_json::json!({"seq": 1, "whole": true, "hosts": [endpoint]});
         let list = crate::endpoint_list::read_list(list.to_string().as_bytes(), 1).expect("a list");
         // Answers one request on each of two connections and hands the connections out.
-        let answering = std::thread::spawn(move || {
+        let responder = std::thread::spawn(move || {
             [(); 2].map(|()| {
                 let (mut stream, _) = listener.accept().expect("a connection");
                 let mut head = Vec::new();
@@ -35,7 +36,7 @@
             })
         });
         let budget = Rc::new(MemoryBudget::for_process(32, false));
-        let pool = Rc::new(ConnectionPool::new(4, wait, wait));
+        let pool = Rc::new(ConnectionPool::new(4, long_timeout, long_timeout));
         let exchanger = Exchanger::new(pool.clone(), budget, Vec::new());
         let metrics = Metrics::new(1);
         let context = AttemptContext { pool: &pool, exchanger: &exchanger, metrics: &metrics };
@@ -43,35 +44,35 @@
         tokio::task::LocalSet::new()
             .run_until(async {
                 let attempt = || async {
-                    let deadline = tokio::time::sleep(wait);
+                    let deadline = tokio::time::sleep(long_timeout);
                     let progress = AttemptProgress::default();
-                    context.run(ServerId(1), || Some(get()), None, deadline, &progress).await.outcome
+                    context.run(ServerId(1), || Some(build_get()), None, deadline, &progress).await.outcome
                 };
                 // Two at once, so that two connections are idle.
-                let both = tokio::join!(attempt(), attempt());
-                assert_eq!(both, (Outcome::Success, Outcome::Success));
-                let mut streams = answering.join().expect("answered").into_iter();
+                let outcomes = tokio::join!(attempt(), attempt());
+                assert_eq!(outcomes, (Outcome::Success, Outcome::Success));
+                let mut streams = responder.join().expect("answered").into_iter();
                 let mut first = streams.next().expect("a connection");
-                match end {
+                match input {
                     Some(bytes) => first.write_all(bytes).expect("sent"),
                     None => drop(first.shutdown(std::net::Shutdown::Both)),
                 }
                 // From here on the runtime runs nothing before the next attempt has its connection.
-                let has_ended = || {
+                let has_pending_input_on_idle = || {
                     let servers = pool.servers.borrow();
                     let idle = &servers[&ServerId(1)].idle;
                     assert_eq!(idle.len(), 2);
                     idle.iter().any(|c| c.http.socket.has_pending_input())
                 };
-                while !has_ended() {}
+                while !has_pending_input_on_idle() {}
                 // The most recently used one is tried first; whichever that is, the ended one must not be.
-                let taken = [pool.checkout(ServerId(1)).await, pool.checkout(ServerId(1)).await];
-                let used = taken.iter().flatten().filter(|c| c.http.counter.written() > 0);
+                let checked_out = [pool.checkout(ServerId(1)).await, pool.checkout(ServerId(1)).await];
+                let reused = checked_out.iter().flatten().filter(|c| c.http.counter.written() > 0);
                 assert!(
-                    used.clone().all(|c| !c.http.socket.has_pending_input()),
+                    reused.clone().all(|c| !c.http.socket.has_pending_input()),
                     "an ended one is used again"
                 );
-                assert_eq!(used.count(), 1, "the usable one is used");
+                assert_eq!(reused.count(), 1, "the usable one is used");
             })
             .await;
     }
--- a/agent/src/upstream/write_counter.rs
+++ b/agent/src/upstream/write_counter.rs
@@ -23,13 +23,13 @@
 
 /// The request that is being written, and where its last byte is recorded.
 struct UnsentRequest {
-    end: RequestEnd,
+    end_offset: RequestEndOffset,
     server: ServerId,
     metrics: Rc<Metrics>,
 }
 
 /// The count of written bytes at which a request ends; `None` while its length is unknown.
-type RequestEnd = Rc<Cell<Option<u64>>>;
+type RequestEndOffset = Rc<Cell<Option<u64>>>;
 
 impl WriteCounter {
     /// The bytes that the kernel has taken.
@@ -38,28 +38,30 @@
     }
 
     /// Starts a request of `length` bytes, if that is known. The metrics record its last byte.
-    pub fn start_request(
+    pub fn track_request(
         self: &Rc<Self>,
         length: Option<u64>,
         server: ServerId,
         metrics: Rc<Metrics>,
     ) -> RequestOnWire {
-        let end = RequestEnd::new(Cell::new(length.map(|length| self.written.get() + length)));
-        *self.unsent_request.borrow_mut() = Some(UnsentRequest { end: end.clone(), server, metrics });
-        RequestOnWire { counter: self.clone(), end }
+        let end_offset = RequestEndOffset::new(Cell::new(length.map(|length| self.written.get() + length)));
+        *self.unsent_request.borrow_mut() =
+            Some(UnsentRequest { end_offset: end_offset.clone(), server, metrics });
+        RequestOnWire { counter: self.clone(), end_offset }
     }
 
     fn record(&self, bytes: usize) {
         let written = self.written.get() + bytes as u64;
         self.written.set(written);
-        let sent = self.unsent_request.borrow_mut().take_if(|request| is_reached(&request.end, written));
+        let sent =
+            self.unsent_request.borrow_mut().take_if(|request| is_reached(&request.end_offset, written));
         if let Some(UnsentRequest { server, metrics, .. }) = sent {
             metrics.record_send(server);
         }
     }
 
     /// Fails once writes are forbidden: not even what is queued already goes out.
-    fn check_allowed(&self) -> io::Result<()> {
+    fn check_writes_allowed(&self) -> io::Result<()> {
         if self.writes_forbidden.get() {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
@@ -67,21 +69,21 @@
     }
 }
 
-fn is_reached(end: &RequestEnd, written: u64) -> bool {
-    end.get().is_some_and(|end| written >= end)
+fn is_reached(end_offset: &RequestEndOffset, written: u64) -> bool {
+    end_offset.get().is_some_and(|end_offset| written >= end_offset)
 }
 
 /// A request that goes over a connection.
 #[derive(Clone)]
 pub struct RequestOnWire {
     counter: Rc<WriteCounter>,
-    end: RequestEnd,
+    end_offset: RequestEndOffset,
 }
 
 impl RequestOnWire {
     /// Whether its last byte has been written.
     pub fn is_sent(&self) -> bool {
-        is_reached(&self.end, self.counter.written())
+        is_reached(&self.end_offset, self.counter.written())
     }
 
     /// Stops its connection from writing.
@@ -91,7 +93,7 @@
 
     /// A body of unknown length has ended: what marks its end is written next.
     pub fn end_with_next_byte(&self) {
-        self.end.set(Some(self.counter.written() + 1));
+        self.end_offset.set(Some(self.counter.written() + 1));
     }
 }
 
@@ -107,11 +109,11 @@
         CountingSocket { io: TokioIo::new(socket), counter }
     }
 
-    fn poll_counted(
+    fn poll_counted_write(
         &mut self,
         write: impl FnOnce(Pin<&mut TokioIo<Socket>>) -> Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        self.counter.check_allowed()?;
+        self.counter.check_writes_allowed()?;
         let bytes = ready!(write(Pin::new(&mut self.io)))?;
         self.counter.record(bytes);
         Poll::Ready(Ok(bytes))
@@ -130,7 +132,7 @@
 
 impl Write for CountingSocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_counted(|io| io.poll_write(cx, buf))
+        self.poll_counted_write(|io| io.poll_write(cx, buf))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -150,6 +152,6 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_counted(|io| io.poll_write_vectored(cx, bufs))
+        self.poll_counted_write(|io| io.poll_write_vectored(cx, bufs))
     }
 }
