--- a/agent/src/upstream/attempt.rs
+++ b/agent/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: it gets a connection, sends its request and waits for the response.
+//! A single attempt: obtains a connection, sends the request and waits for the response.
 
 use crate::metrics::Metrics;
 use crate::traffic::attempt_body::AttemptBody;
@@ -16,24 +16,24 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How far an attempt has come, shared by the event loop and the attempt's task.
+/// Progress of an attempt, shared by the event loop and the attempt's task.
 #[derive(Default)]
 pub struct AttemptProgress {
-    /// Its request, once it has a connection.
+    /// `None` until the attempt has a connection.
     request: RefCell<Option<RequestOnWire>>,
-    /// How long the connection had been idle, if it was not a new one.
+    /// How long the connection was idle before the attempt; `None` for a new connection.
     connection_idle: Cell<Option<Duration>>,
     is_cancelled: Cell<bool>,
     cancelled: Notify,
 }
 
 impl AttemptProgress {
-    /// Whether its last byte may be out: from there on it may have executed.
+    /// Whether the request's last byte may have been sent, after which the server may have executed the request.
     pub fn may_have_executed(&self) -> bool {
         self.request.borrow().as_ref().is_some_and(RequestOnWire::is_sent)
     }
 
-    /// Cancels the attempt. What has not been written stays unwritten.
+    /// Cancels the attempt. Bytes that have not been written yet are not written any more.
     pub fn cancel(&self) {
         self.is_cancelled.set(true);
         if let Some(request) = &*self.request.borrow() {
@@ -43,17 +43,17 @@
     }
 }
 
-/// What an attempt needs of its client.
+/// The parts of the upstream client that an attempt uses.
 pub struct AttemptContext<'a> {
-    /// Where its connection comes from.
+    /// Provides the connection.
     pub pool: &'a Rc<ConnectionPool>,
-    /// Runs its exchange.
+    /// Sends the request and reads the response.
     pub exchanger: &'a Exchanger,
-    /// Records its last byte.
+    /// Records that the request's last byte is written.
     pub metrics: &'a Rc<Metrics>,
 }
 
-/// What ended an attempt that has no response.
+/// Why an attempt ended without a response.
 enum AttemptEnd {
     Failed(AttemptError),
     Cancelled,
@@ -61,9 +61,9 @@
 }
 
 impl AttemptContext<'_> {
-    /// Sends an attempt and waits for its end, or for `deadline`. Directly before the first byte `build_request` is called:
-    /// a connection takes its time to open, and what was decided before may no longer hold. `body` is the request's body,
-    /// if that is passed on as it comes.
+    /// Runs an attempt until it ends or `deadline` completes. `build_request` is called directly before the first byte
+    /// is written, since opening a connection takes time and the request may no longer be needed by then; it returns
+    /// `None` if so. `body` is the request's body if it is streamed.
     pub async fn run(
         &self,
         server: ServerId,
@@ -81,7 +81,7 @@
             },
             () = deadline => AttemptEnd::TimedOut,
         };
-        // A client that sends no more has ended it, and neither the server nor the network.
+        // If the client stopped sending the body, the failure is neither the server's nor the network's.
         let is_stopped_locally = progress.is_cancelled.get() || body.is_some_and(|body| body.has_failed());
         let outcome = end.outcome(progress.may_have_executed(), is_stopped_locally);
         let error = match end {
@@ -115,7 +115,7 @@
         Ok(self.exchanger.exchange(connection, request).await?)
     }
 
-    /// Makes the progress of a request visible before its first byte.
+    /// Registers a request in `progress` and with the connection's write counter, before its first byte is written.
     fn track_request(
         &self,
         server: ServerId,
@@ -136,8 +136,8 @@
 }
 
 impl AttemptEnd {
-    /// The outcome. Whether a broken attempt may have executed rests on the bytes that went out and on nothing else.
-    /// `is_stopped_locally` says that the agent or the client kept the request from being sent.
+    /// The outcome in the balancer's terms. Whether a failed attempt may have executed depends only on the bytes that
+    /// were written. `is_stopped_locally`: the agent or the client kept the request from being sent completely.
     fn outcome(&self, may_have_executed: bool, is_stopped_locally: bool) -> Outcome {
         let outcome = match self {
             AttemptEnd::Failed(error) => error.outcome(),
@@ -154,8 +154,8 @@
     }
 }
 
-/// The bytes of a request as they go out, or a few less: short of them, its last byte is not out. `None` before a body
-/// without a known length has ended.
+/// A lower bound on the size of a request on the wire, at most a few bytes too low: while fewer bytes have been
+/// written, the last byte has not been sent. `None` for a body of unknown length.
 fn min_request_bytes(request: &Request<AttemptBody>) -> Option<u64> {
     let uri = request.uri();
     let query_bytes = uri.query().map_or(0, |query| query.len() + "?".len());
--- a/agent/src/upstream/client.rs
+++ b/agent/src/upstream/client.rs
@@ -1,4 +1,4 @@
-//! The client of all servers: attempts and health checks over pooled connections.
+//! The HTTP client for all servers: sends attempts and health checks over pooled connections.
 
 use crate::endpoint_list::Host;
 use crate::metrics::Metrics;
@@ -23,8 +23,9 @@
 }
 
 impl UpstreamClient {
-    /// Knows no server yet. It has at most `max_connections`, closes idle ones before `keepalive`, when servers would, keeps
-    /// response bodies within `budget` and reads `load_report_fields` of load reports.
+    /// Creates a client that knows no servers yet. It opens at most `max_connections`, closes idle ones before
+    /// `keepalive`, after which servers close them, limits the memory of response bodies by `budget`, and reads
+    /// `load_report_fields` from load reports.
     pub fn new(
         max_connections: usize,
         metrics: Rc<Metrics>,
@@ -38,17 +39,17 @@
         UpstreamClient { pool, exchanger, metrics }
     }
 
-    /// The connections that are open or being opened.
+    /// The number of connections that are open or being opened.
     pub fn open_connections(&self) -> usize {
         self.pool.open_connections()
     }
 
-    /// Applies an entry of the endpoint list.
+    /// Adds or updates a server from its entry in the endpoint list.
     pub fn update_endpoint(&self, server: ServerId, host: &Host) {
         self.pool.update_endpoint(server, host);
     }
 
-    /// Forgets a server; what is in flight to it goes on.
+    /// Removes a server; exchanges in flight to it continue.
     pub fn remove_endpoint(&self, server: ServerId) {
         self.pool.remove_endpoint(server);
     }
@@ -58,12 +59,12 @@
         self.pool.close_idle(server);
     }
 
-    /// Closes the connections that have been idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn evict_idle(&self) {
         self.pool.evict_idle();
     }
 
-    /// Sends an attempt and waits for its end, as [`AttemptContext::run`].
+    /// Runs an attempt until it ends; see [`AttemptContext::run`].
     pub async fn send_attempt(
         &self,
         server: ServerId,
@@ -76,7 +77,7 @@
         context.run(server, build_request, body, deadline, progress).await
     }
 
-    /// Checks a server's health, and reads its load report where it has one.
+    /// Runs a health check of a server and reads the load report, if the response has one.
     pub async fn check_health(&self, server: ServerId) -> ExchangeResult {
         check_health(&self.pool, &self.exchanger, server).await
     }
--- a/agent/src/upstream/client/tests.rs
+++ b/agent/src/upstream/client/tests.rs
@@ -1,10 +1,11 @@
 use super::*;
 use balancer::Outcome;
 
-/// A server whose connects fail becomes an outlier; one that the agent has no descriptor for must not.
+/// A server becomes an outlier if connecting to it fails, but must not when the agent's own connection limit is the
+/// cause.
 #[tokio::test]
 async fn attempt_without_connection_slot_is_not_sent() {
-    // Nobody listens there, and nobody else can while this socket is open.
+    // Bound but not listening: connections are refused, and no other process can take the port.
     let unused_port = tokio::net::TcpSocket::new_v4().expect("a socket");
     unused_port.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let dial = unused_port.local_addr().expect("an address").to_string();
@@ -28,6 +29,6 @@
         let deadline = tokio::time::sleep(long_timeout);
         let attempt = upstream.send_attempt(ServerId(1), || Some(request), None, deadline, &progress);
         let result = tokio::task::LocalSet::new().run_until(attempt).await;
-        assert_eq!(result.outcome, outcome, "with {max_connections} slots");
+        assert_eq!(result.outcome, outcome, "with at most {max_connections} connections");
     }
 }
--- a/agent/src/upstream/connect.rs
+++ b/agent/src/upstream/connect.rs
@@ -1,4 +1,4 @@
-//! Opens TCP connections, and tells a failure of the agent's own system from one of the server or of the network.
+//! Opens TCP connections and distinguishes local failures from those of the server or the network.
 
 use crate::traffic::errors::is_resource_exhaustion;
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
@@ -9,16 +9,16 @@
 /// Why a connection could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The agent's own system did not start it: it has no port, no route, no descriptor or no memory for it.
+    /// The local system could not start it, for lack of a port, a route, a descriptor or memory.
     #[error("not begun: {0}")]
     Local(#[source] io::Error),
-    /// The server, or the network before it, has refused.
+    /// The server or the network refused it.
     #[error("{0}")]
     Remote(#[source] io::Error),
 }
 
-/// Opens a connection to `address`, with no time limit of its own. Only errors of the calls that start it can be local:
-/// what comes later has come from the network, also where it has the same errno.
+/// Opens a connection to `address`, without a timeout. Only errors of the calls that start the connection are local.
+/// Later ones come from the network, even if they have the same error number.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, ConnectError> {
     let socket = start_connect(address).map_err(|error| match is_local(&error) {
         true => ConnectError::Local(error),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Whether `socket` or `connect` failed before anything went out (connect(2)).
+/// Whether `socket` or `connect` failed before any packet was sent; see connect(2).
 fn is_local(error: &io::Error) -> bool {
     let local_errors = [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EINTR];
     is_resource_exhaustion(error) || error.raw_os_error().is_some_and(|errno| local_errors.contains(&errno))
--- a/agent/src/upstream/connection.rs
+++ b/agent/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP connection to a server.
+//! An HTTP/1.1 connection to a server.
 
 use crate::traffic::attempt_body::AttemptBody;
 use crate::traffic::memory_budget::HTTP_BUFFER_BYTES;
@@ -13,11 +13,11 @@
 
 /// An open connection; dropping it closes it.
 pub struct HttpConnection {
-    /// Takes the requests.
+    /// Sends requests over the connection.
     pub sender: SendRequest<AttemptBody>,
-    /// The socket under it.
+    /// The socket, also used by the connection's task.
     pub socket: Socket,
-    /// What it has written.
+    /// Counts the bytes written to the socket.
     pub counter: Rc<WriteCounter>,
     task: JoinHandle<()>,
 }
@@ -31,7 +31,7 @@
         let handshake = Builder::new().max_buf_size(HTTP_BUFFER_BYTES).handshake(io).await;
         let (sender, driver) = handshake.map_err(|error| ConnectError::Remote(io::Error::other(error)))?;
         let task = tokio::task::spawn_local(async move {
-            // How it ended shows at the sender and in the bytes written.
+            // The sender reports errors, and the write counter tells how much was sent.
             let _ = driver.await;
         });
         Ok(HttpConnection { sender, socket, counter, task })
--- a/agent/src/upstream/discovery.rs
+++ b/agent/src/upstream/discovery.rs
@@ -1,7 +1,7 @@
-//! The client of discovery: watches the endpoint list and fetches all of it.
+//! The client of the discovery service: watches the endpoint list, or fetches it completely.
 //!
-//! When to start a watch and when to retry after a failure is the balancer's decision
-//! ([`balancer::Action::Watch`], [`balancer::Action::FetchEndpoints`]); a watch that has started is kept up here.
+//! The balancer decides when to start a watch and when to retry after a failure ([`balancer::Action::Watch`],
+//! [`balancer::Action::FetchEndpoints`]). A watch that has started repeats its calls here until one fails.
 
 mod call;
 mod errors;
@@ -13,16 +13,16 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// What a watch that has fallen silent misses counts as notified this long after that (the operators' page of standing
-/// rules). By then another watch must have brought it.
+/// How long after a watch falls silent the agent counts as notified of the changes that it missed (the operators' page
+/// of standing rules). A new watch must have delivered them by then.
 const SILENT_WATCH_GRACE_PERIOD: Duration = Duration::from_secs(6);
-/// How long a watch waits for changes: so short that a watch that falls silent, and the one in its place as well, are found
-/// out before what both miss counts as notified. A discovery that all agents call answers those opened anew in turn, which
-/// takes the rest of that time.
+/// How long discovery may hold a watch's call open while nothing changes. With [`SILENCE_TIMEOUT`] it is half of the
+/// grace period, so that a silent watch and a silent replacement are both detected within it. Discovery answers the
+/// watches that all agents reopen one after the other, which takes the rest of that time.
 const WATCH_WAIT: Duration =
     SILENT_WATCH_GRACE_PERIOD.checked_div(2).unwrap().saturating_sub(SILENCE_TIMEOUT);
 
-/// The calls to discovery; at most one watch and one fetch of the complete list at a time.
+/// Calls discovery, with at most one watch and one fetch of the complete list at a time.
 pub struct DiscoveryClient {
     target: Target,
     watch: Option<JoinHandle<()>>,
@@ -30,15 +30,15 @@
 }
 
 impl DiscoveryClient {
-    /// Knows where discovery is, and makes no calls yet. A response that names more than `max_servers` is unusable.
+    /// Creates a client that makes no calls yet. A response with more than `max_servers` servers is unusable.
     pub fn new(address: SocketAddr, connect_timeout: Duration, max_servers: usize) -> Self {
         let connect_timeout = connect_timeout.min(SILENCE_TIMEOUT);
         let target = Target { address, connect_timeout, max_servers };
         DiscoveryClient { target, watch: None, fetch: None }
     }
 
-    /// Ends the watch there is. If there is to be one (`is_active`), starts it for what is newer than `seq`, or from the
-    /// complete list on.
+    /// Stops the current watch, if any. If `is_active`, starts a new one for changes after version `seq`, or, without
+    /// `seq`, one that first fetches the complete list.
     pub fn set_watch(&mut self, listener: &Listener, is_active: bool, seq: Option<u64>) {
         if let Some(watch) = self.watch.take() {
             watch.abort();
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Calls another address from now on. What is in flight to the old one ends; a watch starts anew from the complete
-    /// list on.
+    /// Changes the address of discovery. Calls in flight to the old address are aborted. A watch restarts with the
+    /// complete list; without a watch, a fetch that was running is started again.
     pub fn change_address(&mut self, listener: &Listener, address: SocketAddr) {
         self.target.address = address;
         let was_fetching = self.fetch.take().is_some_and(|fetch| {
@@ -64,21 +64,21 @@
         }
     }
 
-    /// Fetches the complete list once.
+    /// Fetches the complete list once, unless a fetch is already running.
     pub fn fetch(&mut self, listener: &Listener) {
         if self.fetch.as_ref().is_some_and(|fetch| !fetch.is_finished()) {
             return;
         }
         let mut caller = Caller::new(self.target, listener.clone());
         self.fetch = Some(tokio::task::spawn_local(async move {
-            // The listener has been notified of all that came of it.
+            // The listener has already received the result.
             let _ = caller.call("/v1/endpoints", Duration::ZERO).await;
         }));
     }
 }
 
-/// Calls again as soon as the last call is answered, until one fails: then the watch is over, the balancer is
-/// notified, and starts another when it decides to.
+/// Makes the next call as soon as the previous one is answered, until one fails. The listener has then been notified of
+/// the failure, and the balancer decides when to start another watch.
 async fn watch(mut caller: Caller, mut seq: Option<u64>) {
     loop {
         let version = match seq {
--- a/agent/src/upstream/discovery/call.rs
+++ b/agent/src/upstream/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One call to discovery: its connection, its request, and the response, which is read as it comes.
+//! A call to discovery: its connection, its request and the response, which is parsed while it arrives.
 
 use crate::endpoint_list::{Envelope, Host, InvalidEntry, ListError, Reader};
 use crate::traffic::socket::Socket;
@@ -17,46 +17,47 @@
 use tokio::task::{yield_now, JoinHandle};
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// What a watch that has fallen silent misses counts as notified at the latest this long after its wait is over (the
-/// operators' page of standing rules). By then another watch must have brought it.
+/// How long after the end of a watch's wait the agent counts as notified, at the latest, of the changes that a silent
+/// watch missed (the operators' page of standing rules). A new watch must have delivered them by then.
 const POST_WAIT_GRACE_PERIOD: Duration = Duration::from_secs(2);
-/// A call that has said nothing this long after it should have is silent: half of [`POST_WAIT_GRACE_PERIOD`] for finding
-/// that out, the other half for opening a watch anew.
+/// How long after the end of its wait a call without a response counts as silent: half of [`POST_WAIT_GRACE_PERIOD`],
+/// which leaves the other half for opening a new watch.
 pub const SILENCE_TIMEOUT: Duration = POST_WAIT_GRACE_PERIOD.checked_div(2).unwrap();
-/// A long response gets another [`SILENCE_TIMEOUT`] for each so many bytes: as many as a body may have (the protocol
-/// page), which have always had to come within that.
+/// A response gets another [`SILENCE_TIMEOUT`] for each so many bytes. The protocol page allows bodies up to this size,
+/// which have always had to arrive within one timeout.
 const BYTES_PER_SILENCE_TIMEOUT: u32 = 64 << 10;
-/// Entries of a response that are read and applied before requests have their turn again: a fraction of a millisecond.
+/// Entries of a response that are parsed and applied before other tasks run: a fraction of a millisecond of work.
 pub const MAX_ENTRIES_PER_STEP: usize = 128;
 
-/// What comes of a call to discovery, in the order in which it comes.
+/// The events of a call to discovery, in the order in which they occur.
 #[derive(Debug)]
 pub enum DiscoveryEvent {
-    /// A call has been made; what an earlier response began is void.
+    /// A call has started; entries of an earlier, incomplete response must be discarded.
     CallStarted,
-    /// Entries of a response that is still coming, [`MAX_ENTRIES_PER_STEP`] at most.
+    /// Entries of a response that is still being received, at most [`MAX_ENTRIES_PER_STEP`].
     Entries(Vec<Result<Host, InvalidEntry>>),
     /// The response is complete.
     Complete(Envelope),
-    /// There was more to apply than fits beside requests: time for the next step of it.
+    /// The listener had more to apply than fits into one step: the next step is due.
     Continue,
-    /// The call failed: it was refused, or no response came or half of one.
+    /// The call failed: it was refused, or the response was missing, incomplete or an error.
     Failed,
-    /// The response is unusable, and a retry at once would bring the same.
+    /// The response is unusable, and an immediate retry would return the same.
     Unusable,
 }
 
-/// Receives discovery's events; returns whether there is more to apply, for which [`DiscoveryEvent::Continue`] follows.
+/// Handles discovery events; returns whether there is more to apply, in which case [`DiscoveryEvent::Continue`]
+/// follows.
 pub type Listener = Rc<dyn Fn(DiscoveryEvent) -> bool>;
 
-/// Where discovery is and how it is called.
+/// The address of discovery and the limits of calls to it.
 #[derive(Clone, Copy)]
 pub struct Target {
-    /// Its address.
+    /// The address of discovery.
     pub address: SocketAddr,
-    /// A connection that is not open after this has failed.
+    /// How long opening a connection may take.
     pub connect_timeout: Duration,
-    /// Servers that a response may name.
+    /// The most servers that a response may contain.
     pub max_servers: usize,
 }
 
@@ -66,7 +67,7 @@
     _task: TaskGuard,
 }
 
-/// Ends a connection's task with its last user.
+/// Aborts a connection's task when dropped.
 struct TaskGuard(JoinHandle<()>);
 
 impl Drop for TaskGuard {
@@ -75,7 +76,7 @@
     }
 }
 
-/// Makes one call after the other, over one connection for as long as all goes well.
+/// Makes calls one after another, over the same connection until a call fails.
 pub struct Caller {
     target: Target,
     listener: Listener,
@@ -83,13 +84,13 @@
 }
 
 impl Caller {
-    /// Calls `target`; `listener` receives what comes of it.
+    /// Creates a caller without a connection; `listener` receives the events of its calls.
     pub fn new(target: Target, listener: Listener) -> Self {
         Caller { target, listener, connection: None }
     }
 
-    /// Makes one call, which the server may take `wait` to answer. Returns the version of the list that it brought; `None`
-    /// if it failed in any way, of which the listener has been notified.
+    /// Makes a call that discovery may hold open for `wait`. Returns the version of the list in the response, or `None`
+    /// if the call failed, of which the listener has then been notified.
     pub async fn call(&mut self, path: &str, wait: Duration) -> Option<u64> {
         let started = Instant::now();
         (self.listener)(DiscoveryEvent::CallStarted);
@@ -102,7 +103,7 @@
         let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
         match result {
             Ok(envelope) => {
-                // A watch without changes says nothing here either.
+                // A watch's call that ended without changes is not logged.
                 if envelope.is_complete || entries > 0 {
                     let content = if envelope.is_complete { "the whole list" } else { "changes" };
                     tracing::info!(target: "discovery", "{content} to {}, {entries} entries, after {elapsed_ms:.1} ms", envelope.seq);
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Lets the listener apply a complete response, step by step.
+    /// Lets the listener apply a complete response in steps, and other tasks run between them.
     async fn apply(&self, envelope: Envelope) {
         let mut has_more = (self.listener)(DiscoveryEvent::Complete(envelope));
         while has_more {
@@ -130,7 +131,8 @@
         }
     }
 
-    /// Makes a call and reads its response as it comes, until `deadline` at least.
+    /// Sends a request and parses the response while it arrives. The response must begin before `deadline`; its body
+    /// may take longer, see [`Self::read_body`].
     async fn exchange(
         &self,
         connection: &mut Option<Connection>,
@@ -142,14 +144,15 @@
             *connection = Some(connect(self.target, deadline).await?);
         }
         let Some(Connection { sender, .. }) = connection else {
-            return Err(CallError::DeadlineBeforeConnect);
+            return Err(CallError::ConnectDeadline);
         };
         let response = async {
             sender.ready().await?;
             let request = Request::get(path).header("host", self.target.address.to_string());
             Ok::<_, CallError>(sender.send_request(request.body(Empty::new())?).await?)
         };
-        // A discovery that is cut off leaves its connection open and silent: no response in time is a failure like any other.
+        // If the network drops all packets, the connection stays open and silent, so a missing response is a failure
+        // too.
         let response = timeout_at(deadline, response).await.map_err(|_| CallError::ResponseTimeout)??;
         if response.status() != StatusCode::OK {
             return Err(CallError::Status(response.status()));
@@ -157,8 +160,8 @@
         self.read_body(response.into_body(), deadline, reader).await
     }
 
-    /// Until `deadline` a call may be silent; after that, what comes has to go on coming, and at a pace of
-    /// [`BYTES_PER_SILENCE_TIMEOUT`].
+    /// Reads and parses a body. Until `deadline` data may pause; after that, there may be no gap longer than
+    /// [`SILENCE_TIMEOUT`], and the average rate must be at least [`BYTES_PER_SILENCE_TIMEOUT`].
     async fn read_body(
         &self,
         mut body: Incoming,
@@ -192,8 +195,8 @@
     }
 }
 
-/// What is said of the list as such, once its response has ended. Half a list has failed; a complete one that is
-/// unusable is malformed.
+/// Returns the fields of the list that are not entries, once the response has ended. A truncated list may be complete
+/// on a retry; a complete but unusable one is malformed.
 fn finish_list(reader: Reader) -> Result<Envelope, CallError> {
     let is_complete = reader.is_complete();
     reader.end().map_err(|error| match is_complete {
@@ -204,11 +207,11 @@
 
 async fn connect(target: Target, deadline: Instant) -> Result<Connection, CallError> {
     let connect = timeout(target.connect_timeout, TcpStream::connect(target.address));
-    let connected = timeout_at(deadline, connect).await.map_err(|_| CallError::DeadlineBeforeConnect)?;
+    let connected = timeout_at(deadline, connect).await.map_err(|_| CallError::ConnectDeadline)?;
     let stream = connected.map_err(io::Error::from).and_then(|stream| stream).map_err(CallError::Connect)?;
     let (sender, driver) = handshake(TokioIo::new(Socket::new(stream))).await?;
     let task = tokio::task::spawn_local(async move {
-        // Its end shows at the sender.
+        // The sender reports the end of the connection.
         let _ = driver.await;
     });
     Ok(Connection { sender, _task: TaskGuard(task) })
--- a/agent/src/upstream/discovery/errors.rs
+++ b/agent/src/upstream/discovery/errors.rs
@@ -1,43 +1,43 @@
-//! Why a call to discovery failed. The texts are what the log says.
+//! Errors of calls to discovery. Their texts appear in the log.
 
 use crate::endpoint_list::ListError;
 use hyper::StatusCode;
 use std::io;
 
-/// Why a call brought no endpoint list.
+/// Why a call returned no endpoint list.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The connection could not be opened within the connect timeout.
+    /// The connection was refused, or not open within the connect timeout.
     #[error("no connection: {0}")]
     Connect(#[source] io::Error),
-    /// The call's time was over before the connection was open.
+    /// The call's deadline passed before the connection was open.
     #[error("no connection")]
-    DeadlineBeforeConnect,
-    /// No head of a response came in time.
+    ConnectDeadline,
+    /// No response head arrived before the call's deadline.
     #[error("no answer")]
     ResponseTimeout,
-    /// The body of the response did not go on in time.
+    /// The response body paused for too long or arrived too slowly.
     #[error("no whole answer in time")]
     BodyTimeout,
-    /// The connection broke, or what came over it is no HTTP.
+    /// The connection broke, or the response is not valid HTTP.
     #[error("no whole answer: {0:.80}")]
     Http(#[from] hyper::Error),
     /// The request could not be built.
     #[error("no whole answer: {0:.80}")]
     Request(#[from] hyper::http::Error),
-    /// Discovery answered with an error.
+    /// Discovery returned a status other than 200.
     #[error("status {0}")]
     Status(StatusCode),
-    /// The list breaks off.
+    /// The list is truncated.
     #[error("its answer is no list: {0}")]
     IncompleteList(#[source] ListError),
-    /// The list is malformed: the next call would bring the same.
+    /// The list is malformed, and the next call would return the same.
     #[error("its answer is no list: {0}")]
     MalformedList(#[source] ListError),
 }
 
 impl CallError {
-    /// Whether a retry at once would bring the same.
+    /// Whether an immediate retry would fail in the same way.
     pub fn is_permanent(&self) -> bool {
         matches!(self, CallError::MalformedList(_))
     }
--- a/agent/src/upstream/errors.rs
+++ b/agent/src/upstream/errors.rs
@@ -1,33 +1,33 @@
-//! Why an attempt or a health check has no response. The texts are what the log says of a lost attempt.
+//! Errors of attempts and health checks without a response. Their texts appear in the log lines of failed attempts.
 
 use crate::upstream::connect::ConnectError;
 use balancer::Outcome;
 use std::error::Error;
 use tokio::sync::AcquireError;
 
-/// The longest reason that is logged for a broken exchange.
+/// Longer error texts of an exchange are cut off in the log.
 const MAX_REASON_CHARS: usize = 80;
 
-/// Why there is no connection for an attempt.
+/// Why an attempt got no connection.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// The endpoint list has no address of the server.
+    /// The endpoint list has no address for the server, or the server has been removed from it.
     #[error("no address")]
     NoAddress,
-    /// The agent has as many connections as it may.
+    /// The connection limit of the agent is reached, and no connection is idle.
     #[error("no place")]
     NoSlot,
-    /// It could not be opened.
+    /// Opening it failed.
     #[error("no connection: {0}")]
     Connect(#[from] ConnectError),
-    /// It was not open within the connect timeout.
+    /// Opening it took longer than the connect timeout.
     #[error("no connection in time")]
     TimedOut,
 }
 
 impl ConnectionError {
-    /// Where the agent itself could not start, nothing was tried, and the server must not pass for one that cannot be
-    /// reached.
+    /// The outcome in the balancer's terms. If the failure is local, the server was never contacted, and must not count
+    /// as unreachable.
     pub fn outcome(&self) -> Outcome {
         match self {
             ConnectionError::NoSlot | ConnectionError::Connect(ConnectError::Local(_)) => Outcome::NotSent,
@@ -38,16 +38,16 @@
     }
 }
 
-/// What broke an exchange on an open connection.
+/// Why an exchange on an open connection failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
-    /// The connection broke, or what came over it is no HTTP.
+    /// The connection broke, or the response is not valid HTTP.
     #[error("{}", reason(.0))]
     Http(#[from] hyper::Error),
-    /// The body of an error response broke off.
+    /// The body of an error response was cut off.
     #[error("{}", reason(.0.as_ref()))]
     ErrorBody(#[source] Box<dyn Error + Send + Sync>),
-    /// The memory budget gives out no more.
+    /// The memory budget is closed and grants no further reservations.
     #[error("{}", reason(.0))]
     Memory(#[from] AcquireError),
 }
@@ -58,19 +58,19 @@
     /// It got no connection.
     #[error(transparent)]
     Connection(#[from] ConnectionError),
-    /// It was cancelled while its connection was opened.
+    /// It was cancelled while its connection was being opened.
     #[error("called off")]
     Cancelled,
-    /// By the time its connection was open it was not to be sent any more.
+    /// When its connection was ready, the request was no longer needed, or the server had a new process or address.
     #[error("too late to begin")]
     Obsolete,
-    /// Its exchange broke.
+    /// Its exchange failed.
     #[error(transparent)]
     Exchange(#[from] ExchangeError),
 }
 
 impl AttemptError {
-    /// The outcome, unless that depends on how much of the request was sent.
+    /// The outcome, or `None` if it depends on how much of the request was sent.
     pub fn outcome(&self) -> Option<Outcome> {
         match self {
             AttemptError::Connection(error) => Some(error.outcome()),
@@ -80,7 +80,7 @@
     }
 }
 
-/// An error and its source, short.
+/// An error and its source, cut off after [`MAX_REASON_CHARS`].
 fn reason(error: &dyn Error) -> String {
     let source = error.source().map(|source| format!(": {source}")).unwrap_or_default();
     format!("{error}{source}").chars().take(MAX_REASON_CHARS).collect()
--- a/agent/src/upstream/exchange.rs
+++ b/agent/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its response over a connection.
+//! HTTP exchanges: a request and its response over a connection.
 
 use crate::traffic::attempt_body::AttemptBody;
 use crate::traffic::memory_budget::{MemoryBudget, MAX_BUFFERED_BODY_BYTES};
@@ -17,28 +17,28 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// A response of unknown length is held back for this long after its head: one that breaks off by then is retried
-/// elsewhere, and one that goes on is passed on as it comes.
+/// How long after its head a response of unknown length is buffered. One that is cut off within this time can be
+/// retried on another server; after it, the response is streamed to the client.
 const UNKNOWN_LENGTH_BUFFER_TIME: Duration = Duration::from_millis(50);
 
-/// How an exchange ended.
+/// The result of an attempt or a health check.
 pub struct ExchangeResult {
-    /// The outcome in the balancer's terms.
+    /// The outcome that is reported to the balancer.
     pub outcome: Outcome,
-    /// The status that the server gave, for the log.
+    /// The status of the response, for the log; `None` without a response.
     pub status: Option<StatusCode>,
-    /// How long the connection had been idle before, if it was not a new one; for the log.
+    /// How long the connection had been idle before, for the log; `None` for a new connection.
     pub connection_idle: Option<Duration>,
-    /// What was wrong with the connection or the response; for the log.
+    /// The error of the connection or the response, for the log.
     pub error: Option<AttemptError>,
-    /// The load report that came along, in the order of the settings.
+    /// The values of the load report, in the order of the fields in the settings; NaN for a field without one.
     pub load_report: Option<Vec<f64>>,
-    /// The response to a request that was served.
+    /// The response, if the outcome is a success.
     pub response: Option<ServedResponse>,
 }
 
 impl ExchangeResult {
-    /// An exchange that brought no response.
+    /// A result with no more than an outcome.
     pub fn without_response(outcome: Outcome) -> Self {
         ExchangeResult {
             outcome,
@@ -51,17 +51,17 @@
     }
 }
 
-/// A server's response to a request that it served.
+/// A server's response with status 200.
 pub struct ServedResponse {
-    /// Its content type.
+    /// The `Content-Type` header.
     pub content_type: Option<HeaderValue>,
-    /// The length of the body that it would have, if only its head was requested.
+    /// The `Content-Length` header of the response to a HEAD request; `None` for other methods.
     pub content_length: Option<HeaderValue>,
-    /// The body, as far as it has come.
+    /// The body: complete, or streamed with what has been buffered so far.
     pub body: ResponseBody,
 }
 
-/// Runs exchanges on connections of a pool.
+/// Runs exchanges over connections of a pool.
 pub struct Exchanger {
     pool: Rc<ConnectionPool>,
     budget: Rc<MemoryBudget>,
@@ -69,19 +69,19 @@
 }
 
 impl Exchanger {
-    /// Gives connections back to `pool`, keeps response bodies within `budget`, and reads the named fields of load
-    /// reports.
+    /// Creates an exchanger that returns connections to `pool`, limits the memory of response bodies by `budget`, and
+    /// reads `load_report_fields` from load reports.
     pub fn new(pool: Rc<ConnectionPool>, budget: Rc<MemoryBudget>, load_report_fields: Vec<String>) -> Self {
         Exchanger { pool, budget, load_report_fields }
     }
 
-    /// The fields of load reports that are read.
+    /// The fields that are read from load reports, in the order of the settings.
     pub fn load_report_fields(&self) -> &[String] {
         &self.load_report_fields
     }
 
-    /// Sends a request and reads its response, completely or so much of it that the rest can be passed on. The error is
-    /// what broke the exchange.
+    /// Sends a request and reads its response: completely if it is short, else as much as is buffered before streaming.
+    /// An error response is a result, not an error.
     pub async fn exchange(
         &self,
         mut connection: PooledConnection,
@@ -103,8 +103,8 @@
         Ok(ExchangeResult { response: Some(response), ..result })
     }
 
-    /// What a response means. Only a rejection that says so proves that the request was not executed: a bare 503 may come
-    /// from something that executed it.
+    /// Derives the outcome and the load report from the head of a response. A 503 or 504 is a rejection only with the
+    /// header `x-not-processed: 1`; without it, the status may come from a component that executed the request.
     fn classify<B>(&self, response: &Response<B>) -> ExchangeResult {
         let not_processed = response.headers().get("x-not-processed").is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match response.status() {
@@ -122,8 +122,8 @@
         }
     }
 
-    /// The status of an error says it all. Its body is not passed on; if that is long, it is not read either, and the
-    /// connection ends.
+    /// Reads and discards the body of an error response, of which only the status is used, so that the connection can
+    /// be reused. If the body is longer than [`MAX_BUFFERED_BODY_BYTES`], the connection is closed instead.
     async fn drain_error_body(
         &self,
         connection: PooledConnection,
@@ -164,7 +164,8 @@
     }
 }
 
-/// Reads a body until it has ended, is too long to be kept, or `until` has come; whether it has ended.
+/// Reads chunks until the body ends, exceeds [`MAX_BUFFERED_BODY_BYTES`], or `deadline` passes. Returns whether the
+/// body has ended.
 async fn read_short_body(
     body: &mut Incoming,
     chunks: &mut VecDeque<Bytes>,
--- a/agent/src/upstream/headers.rs
+++ b/agent/src/upstream/headers.rs
@@ -1,8 +1,8 @@
-//! Which headers of a request are forwarded.
+//! Selects the request headers that are forwarded to servers.
 
 use hyper::header::HeaderMap;
 
-/// Headers that concern one connection only, or that the agent writes itself.
+/// Hop-by-hop headers, and headers that the agent sets itself.
 const NOT_FORWARDED: [&str; 12] = [
     "connection",
     "keep-alive",
@@ -18,7 +18,7 @@
     "x-timeout",
 ];
 
-/// The headers that are forwarded: all but [`NOT_FORWARDED`] and those that `Connection` names.
+/// Returns all headers but [`NOT_FORWARDED`] and those that the `Connection` header names.
 pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let connection_headers: Vec<String> = headers
         .get_all("connection")
--- a/agent/src/upstream/health_check.rs
+++ b/agent/src/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: they request a server's health, and its load where it reports that.
+//! Health checks, which also request the load report if the settings name fields of it.
 
 use crate::traffic::attempt_body::AttemptBody;
 use crate::upstream::exchange::{ExchangeResult, Exchanger};
@@ -10,10 +10,10 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// A health check without a response by then has timed out.
+/// Covers connecting, the request and the response of a health check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Checks a server's health within [`HEALTH_CHECK_TIMEOUT`].
+/// Runs a health check of a server, for at most [`HEALTH_CHECK_TIMEOUT`].
 pub async fn check_health(
     pool: &Rc<ConnectionPool>,
     exchanger: &Exchanger,
--- a/agent/src/upstream/load_report.rs
+++ b/agent/src/upstream/load_report.rs
@@ -1,7 +1,7 @@
-//! Reads the load report that a server sends with its responses.
+//! Parses the load reports that servers send in responses.
 
-/// Reads `TEXT inflight=7, queue=2` into the order of `fields`, with NaN for what it does not say; `None` if it says
-/// nothing of these.
+/// Parses a report such as `TEXT inflight=7, queue=2` into values in the order of `fields`. A field that is missing or
+/// not a number is NaN; the result is `None` if no field has a finite value.
 pub fn parse_load_report(text: &str, fields: &[String]) -> Option<Vec<f64>> {
     let text = text.trim();
     let pairs = text.strip_prefix("TEXT").unwrap_or(text);
--- a/agent/src/upstream/mod.rs
+++ b/agent/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The servers' side: the connections to them, the exchanges over these, and discovery, which lists the servers.
+//! The upstream side: connections to servers, HTTP exchanges over them, and the client of the discovery service.
 
 pub mod attempt;
 pub mod client;
--- a/agent/src/upstream/pool.rs
+++ b/agent/src/upstream/pool.rs
@@ -1,7 +1,7 @@
-//! The connections to all servers: those that are idle, how many there may be, and which are evicted.
+//! The connection pool of all servers: idle connections, the connection limit and eviction.
 //!
-//! A connection carries one exchange at a time and is used again only after a complete response. Whatever else ends an
-//! exchange (a timeout, a cancellation, an error) ends its connection with it.
+//! A connection carries one exchange at a time and is reused only after a complete response. An exchange that ends in
+//! any other way (a timeout, a cancellation, an error) closes its connection.
 
 use crate::endpoint_list::{Health, Host};
 use crate::upstream::connection::HttpConnection;
@@ -15,24 +15,24 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Instant};
 
-/// An idle connection is closed after this share of the keep-alive time in the settings: one that the server closes
-/// while a request is on its way to it costs that request a reset of which nobody knows whether it was executed.
+/// An idle connection is closed after this share of the keep-alive time in the settings. If the server closed it first,
+/// while a request is on its way, the request would be reset and it would be unknown whether it was executed.
 const MAX_IDLE_SHARE: f64 = 0.7;
-/// After a complete response a connection is ready again at once, or there is something wrong with it.
+/// After a complete response a connection normally is ready again at once; one that is not within this time is closed.
 const READY_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// One connection of the pool; dropping it closes it and frees its slot.
+/// A connection of the pool; dropping it closes it and releases its slot.
 pub struct PooledConnection {
-    /// The connection itself.
+    /// The HTTP connection.
     pub http: HttpConnection,
-    /// Since when it has had no exchange, or when it was opened.
+    /// When it was opened or last returned to the pool.
     pub idle_since: Instant,
     server: ServerId,
     incarnation: u64,
     _slot: ConnectionSlot,
 }
 
-/// One of the connections that the process may have.
+/// A unit of the connection limit, released on drop. Holds the number of units in use.
 struct ConnectionSlot(Rc<Cell<usize>>);
 
 impl ConnectionSlot {
@@ -52,23 +52,24 @@
 struct ServerEntry {
     address: Option<SocketAddr>,
     born_ms: f64,
-    /// Counts its processes and addresses; connections of an earlier one are not used again.
+    /// Incremented when the server has a new process or address; connections of an earlier incarnation are not reused.
     incarnation: u64,
     is_up: bool,
     idle: Vec<PooledConnection>,
 }
 
-/// What a new connection needs to know of its server.
+/// The server and address that a new connection is opened to.
 struct ConnectTarget {
     server: ServerId,
     address: SocketAddr,
     incarnation: u64,
 }
 
-/// All servers and the connections to them.
+/// The known servers and the connections to them.
 pub struct ConnectionPool {
     servers: RefCell<HashMap<ServerId, ServerEntry>>,
-    /// Servers with idle connections, and perhaps some that had: evicting must not walk all the others.
+    /// All servers with idle connections, and possibly some that no longer have any. Saves eviction from iterating over
+    /// all servers.
     servers_with_idle: RefCell<HashSet<ServerId>>,
     used_slots: Rc<Cell<usize>>,
     max_connections: usize,
@@ -77,8 +78,8 @@
 }
 
 impl ConnectionPool {
-    /// A pool that knows no server yet and has at most `max_connections`. `keepalive` is the time after which servers
-    /// close idle connections.
+    /// Creates a pool that knows no servers yet and opens at most `max_connections`. `keepalive` is the time after
+    /// which servers close idle connections.
     pub fn new(max_connections: usize, connect_timeout: Duration, keepalive: Duration) -> Self {
         ConnectionPool {
             servers: RefCell::default(),
@@ -90,13 +91,13 @@
         }
     }
 
-    /// The connections that are open or being opened.
+    /// The number of connections that are open or being opened.
     pub fn open_connections(&self) -> usize {
         self.used_slots.get()
     }
 
-    /// Applies an entry of the endpoint list. A new address or a new process means new connections; a server that drains
-    /// or is removed keeps no idle ones.
+    /// Adds or updates a server from its entry in the endpoint list. The idle connections are closed if the server has
+    /// a new address or process, or is draining or removed.
     pub fn update_endpoint(&self, server: ServerId, host: &Host) {
         let mut servers = self.servers.borrow_mut();
         let server_entry = servers.entry(server).or_insert_with(|| ServerEntry {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Forgets a server and its idle connections; what is in flight to it goes on.
+    /// Removes a server and closes its idle connections; exchanges in flight to it continue.
     pub fn remove_endpoint(&self, server: ServerId) {
         self.servers.borrow_mut().remove(&server);
     }
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Closes the connections that have been idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn evict_idle(&self) {
         let mut servers = self.servers.borrow_mut();
         self.servers_with_idle.borrow_mut().retain(|server| {
@@ -143,15 +144,15 @@
         });
     }
 
-    /// The most recently used connection that is still usable, or a new one.
+    /// Returns the most recently used idle connection that is still usable, or opens a new one.
     pub async fn checkout(self: &Rc<Self>, server: ServerId) -> Result<PooledConnection, ConnectionError> {
         if let Some(connection) = self.take_idle(server) {
             return Ok(connection);
         }
         let target = self.connect_target(server).ok_or(ConnectionError::NoAddress)?;
         let slot = self.acquire_slot().ok_or(ConnectionError::NoSlot)?;
-        // A task of its own: when its attempt is cancelled meanwhile, the connection, which has cost the server work by
-        // then, serves the next one.
+        // A separate task, so that the connection, which has already cost the server work, is kept for another attempt
+        // if this one is cancelled in the meantime.
         let (sender, receiver) = oneshot::channel();
         let pool = self.clone();
         tokio::task::spawn_local(async move {
@@ -169,7 +170,7 @@
         while let Some(connection) = server_entry.idle.pop() {
             let is_ready =
                 connection.idle_since.elapsed() < self.max_idle && connection.http.sender.is_ready();
-            // Its end, or half a line, may have come without the connection's task having run since.
+            // The server may have closed the connection or sent data that the connection's task has not read yet.
             if is_ready && !connection.http.socket.has_pending_input() {
                 return Some(connection);
             }
@@ -199,7 +200,8 @@
         })
     }
 
-    /// A slot for one more connection; if all are used, the least recently used idle connection is closed for it.
+    /// Acquires a slot for a new connection. If all are in use, closes the least recently used idle connection first;
+    /// `None` if there is none.
     fn acquire_slot(&self) -> Option<ConnectionSlot> {
         if self.open_connections() >= self.max_connections {
             let mut servers = self.servers.borrow_mut();
@@ -212,7 +214,7 @@
         Some(ConnectionSlot::acquire(&self.used_slots))
     }
 
-    /// Whether a connection leads to the process and address that its server has now.
+    /// Whether a connection belongs to the current process and address of its server.
     pub fn is_current(&self, connection: &PooledConnection) -> bool {
         let servers = self.servers.borrow();
         servers
@@ -220,7 +222,8 @@
             .is_some_and(|server_entry| server_entry.incarnation == connection.incarnation)
     }
 
-    /// Keeps an unused connection for another attempt, if its server still takes any there.
+    /// Returns a connection to the pool for another exchange, or closes it if the server is not up, or if it is closed
+    /// or of an earlier incarnation.
     pub fn check_in(&self, mut connection: PooledConnection) {
         let is_current = self.is_current(&connection);
         let mut servers = self.servers.borrow_mut();
@@ -232,7 +235,7 @@
         }
     }
 
-    /// Keeps a connection after a complete response, as soon as it is ready for another request.
+    /// Returns a connection to the pool after a complete response, once it is ready for another request.
     pub async fn check_in_when_ready(&self, mut connection: PooledConnection) {
         if let Ok(Ok(())) = timeout(READY_TIMEOUT, connection.http.sender.ready()).await {
             self.check_in(connection);
--- a/agent/src/upstream/pool/tests.rs
+++ b/agent/src/upstream/pool/tests.rs
@@ -7,8 +7,8 @@
 use balancer::Outcome;
 use hyper::Request;
 
-/// A server ends an idle connection, or says half a line on it, in the moment before its next use; the
-/// connection's task has not run since, so only the system knows.
+/// A server closes an idle connection, or sends part of a status line on it, just before its next use. The connection's
+/// task has not run since, so only the socket shows it; a request written to it would fail.
 #[tokio::test]
 async fn connection_with_pending_input_is_not_reused() {
     use std::io::{Read as _, Write as _};
@@ -21,7 +21,7 @@
         let endpoint = serde_json::json!({"host": "s", "dial": dial, "site": "a", "health": "up"});
         let list = serde_json::json!({"seq": 1, "whole": true, "hosts": [endpoint]});
         let list = crate::endpoint_list::read_list(list.to_string().as_bytes(), 1).expect("a list");
-        // Answers one request on each of two connections and hands the connections out.
+        // Answers one request on each of two connections and returns the streams.
         let responder = std::thread::spawn(move || {
             [(); 2].map(|()| {
                 let (mut stream, _) = listener.accept().expect("a connection");
@@ -48,7 +48,7 @@
                     let progress = AttemptProgress::default();
                     context.run(ServerId(1), || Some(build_get()), None, deadline, &progress).await.outcome
                 };
-                // Two at once, so that two connections are idle.
+                // Two concurrent attempts leave two idle connections.
                 let outcomes = tokio::join!(attempt(), attempt());
                 assert_eq!(outcomes, (Outcome::Success, Outcome::Success));
                 let mut streams = responder.join().expect("answered").into_iter();
@@ -57,7 +57,7 @@
                     Some(bytes) => first.write_all(bytes).expect("sent"),
                     None => drop(first.shutdown(std::net::Shutdown::Both)),
                 }
-                // From here on the runtime runs nothing before the next attempt has its connection.
+                // From here on there is no await before the checkout, so the connections' tasks cannot run.
                 let has_pending_input_on_idle = || {
                     let servers = pool.servers.borrow();
                     let idle = &servers[&ServerId(1)].idle;
@@ -65,14 +65,15 @@
                     idle.iter().any(|c| c.http.socket.has_pending_input())
                 };
                 while !has_pending_input_on_idle() {}
-                // The most recently used one is tried first; whichever that is, the ended one must not be.
+                // The most recently used connection is tried first, and may be either. The one with input must not be
+                // reused.
                 let checked_out = [pool.checkout(ServerId(1)).await, pool.checkout(ServerId(1)).await];
                 let reused = checked_out.iter().flatten().filter(|c| c.http.counter.written() > 0);
                 assert!(
                     reused.clone().all(|c| !c.http.socket.has_pending_input()),
-                    "an ended one is used again"
+                    "a connection with pending input is reused"
                 );
-                assert_eq!(reused.count(), 1, "the usable one is used");
+                assert_eq!(reused.count(), 1, "the usable connection is reused");
             })
             .await;
     }
--- a/agent/src/upstream/write_counter.rs
+++ b/agent/src/upstream/write_counter.rs
@@ -1,5 +1,5 @@
-//! Counts the bytes of a connection that the kernel has taken. From them, and from nothing else, follows whether a
-//! broken attempt may have executed.
+//! Counts the bytes of a connection that the kernel has accepted. Only this count decides whether a failed attempt may
+//! have been executed.
 
 use crate::metrics::Metrics;
 use crate::traffic::socket::Socket;
@@ -12,8 +12,8 @@
 use std::rc::Rc;
 use std::task::{ready, Context, Poll};
 
-/// The bytes that a connection has written so far, and whether it may write more. Shared by the connection's task and
-/// its user.
+/// Counts the bytes written to a connection, and blocks further writes on request. Shared by the connection's task and
+/// the attempt that uses the connection.
 #[derive(Default)]
 pub struct WriteCounter {
     written: Cell<u64>,
@@ -21,23 +21,24 @@
     unsent_request: RefCell<Option<UnsentRequest>>,
 }
 
-/// The request that is being written, and where its last byte is recorded.
+/// The request that is being written, and what is recorded when its last byte has been written.
 struct UnsentRequest {
     end_offset: RequestEndOffset,
     server: ServerId,
     metrics: Rc<Metrics>,
 }
 
-/// The count of written bytes at which a request ends; `None` while its length is unknown.
+/// The count of written bytes at which a request is completely sent; `None` while its length is unknown.
 type RequestEndOffset = Rc<Cell<Option<u64>>>;
 
 impl WriteCounter {
-    /// The bytes that the kernel has taken.
+    /// The number of bytes that the kernel has accepted since the connection was opened.
     pub fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// Starts a request of `length` bytes, if that is known. The metrics record its last byte.
+    /// Tracks a request of `length` bytes (`None` if unknown) that is written from here on. When its last byte has been
+    /// written, a send to `server` is recorded in `metrics`.
     pub fn track_request(
         self: &Rc<Self>,
         length: Option<u64>,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Fails once writes are forbidden: not even what is queued already goes out.
+    /// Fails once writes are forbidden, so that not even data that is already queued is sent.
     fn check_writes_allowed(&self) -> io::Result<()> {
         if self.writes_forbidden.get() {
             return Err(io::ErrorKind::ConnectionAborted.into());
@@ -73,7 +74,7 @@
     end_offset.get().is_some_and(|end_offset| written >= end_offset)
 }
 
-/// A request that goes over a connection.
+/// A request that is being sent over a connection.
 #[derive(Clone)]
 pub struct RequestOnWire {
     counter: Rc<WriteCounter>,
@@ -81,30 +82,30 @@
 }
 
 impl RequestOnWire {
-    /// Whether its last byte has been written.
+    /// Whether the last byte has been written.
     pub fn is_sent(&self) -> bool {
         is_reached(&self.end_offset, self.counter.written())
     }
 
-    /// Stops its connection from writing.
+    /// Blocks all further writes to the connection.
     pub fn forbid_writes(&self) {
         self.counter.writes_forbidden.set(true);
     }
 
-    /// A body of unknown length has ended: what marks its end is written next.
+    /// Sets the end of a request whose body had an unknown length: the next byte belongs to the end marker of the body.
     pub fn end_with_next_byte(&self) {
         self.end_offset.set(Some(self.counter.written() + 1));
     }
 }
 
-/// A socket whose written bytes are counted.
+/// A socket that counts the bytes written to it.
 pub struct CountingSocket {
     io: TokioIo<Socket>,
     counter: Rc<WriteCounter>,
 }
 
 impl CountingSocket {
-    /// Counts what is written to `socket` with `counter`.
+    /// Wraps `socket`; `counter` counts the bytes written to it.
     pub fn new(socket: Socket, counter: Rc<WriteCounter>) -> Self {
         CountingSocket { io: TokioIo::new(socket), counter }
     }
