--- a/agent/src/upstream/connect.rs
+++ b/agent/src/upstream/connect.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
     /// The local system could not start it, for lack of a port, a route, a descriptor or memory.
-    #[error("not begun: {0}")]
+    #[error("not started: {0}")]
     Local(#[source] io::Error),
     /// The server or the network refused it.
     #[error("{0}")]
--- a/agent/src/upstream/discovery/call.rs
+++ b/agent/src/upstream/discovery/call.rs
@@ -105,8 +105,8 @@
             Ok(envelope) => {
                 // A watch's call that ended without changes is not logged.
                 if envelope.is_complete || entries > 0 {
-                    let content = if envelope.is_complete { "the whole list" } else { "changes" };
-                    tracing::info!(target: "discovery", "{content} to {}, {entries} entries, after {elapsed_ms:.1} ms", envelope.seq);
+                    let content = if envelope.is_complete { "complete list" } else { "changes" };
+                    tracing::info!(target: "discovery", "{content} up to version {}, {entries} entries, after {elapsed_ms:.1} ms", envelope.seq);
                 }
                 self.apply(envelope).await;
                 self.connection = connection;
@@ -143,9 +143,7 @@
         if connection.as_ref().is_none_or(|connection| connection.sender.is_closed()) {
             *connection = Some(connect(self.target, deadline).await?);
         }
-        let Some(Connection { sender, .. }) = connection else {
-            return Err(CallError::ConnectDeadline);
-        };
+        let Some(Connection { sender, .. }) = connection else { return Err(CallError::ConnectDeadline) };
         let response = async {
             sender.ready().await?;
             let request = Request::get(path).header("host", self.target.address.to_string());
--- a/agent/src/upstream/discovery/errors.rs
+++ b/agent/src/upstream/discovery/errors.rs
@@ -8,31 +8,31 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The connection was refused, or not open within the connect timeout.
-    #[error("no connection: {0}")]
+    #[error("connect failed: {0}")]
     Connect(#[source] io::Error),
     /// The call's deadline passed before the connection was open.
-    #[error("no connection")]
+    #[error("not connected before the deadline of the call")]
     ConnectDeadline,
     /// No response head arrived before the call's deadline.
-    #[error("no answer")]
+    #[error("no response in time")]
     ResponseTimeout,
     /// The response body paused for too long or arrived too slowly.
-    #[error("no whole answer in time")]
+    #[error("no complete response in time")]
     BodyTimeout,
     /// The connection broke, or the response is not valid HTTP.
-    #[error("no whole answer: {0:.80}")]
+    #[error("HTTP error: {0:.80}")]
     Http(#[from] hyper::Error),
     /// The request could not be built.
-    #[error("no whole answer: {0:.80}")]
+    #[error("cannot build the request: {0:.80}")]
     Request(#[from] hyper::http::Error),
     /// Discovery returned a status other than 200.
     #[error("status {0}")]
     Status(StatusCode),
     /// The list is truncated.
-    #[error("its answer is no list: {0}")]
+    #[error("incomplete endpoint list: {0}")]
     IncompleteList(#[source] ListError),
     /// The list is malformed, and the next call would return the same.
-    #[error("its answer is no list: {0}")]
+    #[error("malformed endpoint list: {0}")]
     MalformedList(#[source] ListError),
 }
 
--- a/agent/src/upstream/errors.rs
+++ b/agent/src/upstream/errors.rs
@@ -12,16 +12,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
     /// The endpoint list has no address for the server, or the server has been removed from it.
-    #[error("no address")]
+    #[error("no address in the endpoint list")]
     NoAddress,
     /// The connection limit of the agent is reached, and no connection is idle.
-    #[error("no place")]
+    #[error("connection limit reached")]
     NoSlot,
     /// Opening it failed.
-    #[error("no connection: {0}")]
+    #[error("connect failed: {0}")]
     Connect(#[from] ConnectError),
     /// Opening it took longer than the connect timeout.
-    #[error("no connection in time")]
+    #[error("connect timed out")]
     TimedOut,
 }
 
@@ -62,7 +62,7 @@
     #[error("called off")]
     Cancelled,
     /// When its connection was ready, the request was no longer needed, or the server had a new process or address.
-    #[error("too late to begin")]
+    #[error("no longer needed when the connection was ready")]
     Obsolete,
     /// Its exchange failed.
     #[error(transparent)]
