--- a/agent/src/upstream/attempt.rs
+++ b/agent/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: it gets a connection, sends its request and waits for the response.
+//! A single attempt: obtains a connection, sends the request and waits for the response.
 
 use crate::metrics::Metrics;
 use crate::traffic::attempt_body::AttemptBody;
@@ -16,24 +16,24 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How far an attempt has come, shared by the event loop and the attempt's task.
+/// Progress of an attempt, shared by the event loop and the attempt's task.
 #[derive(Default)]
 pub struct AttemptProgress {
-    /// Its request, once it has a connection.
+    /// `None` until the attempt has a connection.
     request: RefCell<Option<RequestOnWire>>,
-    /// How long the connection had been idle, if it was not a new one.
+    /// How long the connection was idle before the attempt; `None` for a new connection.
     connection_idle: Cell<Option<Duration>>,
     is_cancelled: Cell<bool>,
     cancelled: Notify,
 }
 
 impl AttemptProgress {
-    /// Whether its last byte may be out: from there on it may have executed.
+    /// Whether the request's last byte may have been sent, after which the server may have executed the request.
     pub fn may_have_executed(&self) -> bool {
         self.request.borrow().as_ref().is_some_and(RequestOnWire::is_sent)
     }
 
-    /// Cancels the attempt. What has not been written stays unwritten.
+    /// Cancels the attempt. Bytes that have not been written yet are not written any more.
     pub fn cancel(&self) {
         self.is_cancelled.set(true);
         if let Some(request) = &*self.request.borrow() {
@@ -43,17 +43,17 @@
     }
 }
 
-/// What an attempt needs of its client.
+/// The parts of the upstream client that an attempt uses.
 pub struct AttemptContext<'a> {
-    /// Where its connection comes from.
+    /// Provides the connection.
     pub pool: &'a Rc<ConnectionPool>,
-    /// Runs its exchange.
+    /// Sends the request and reads the response.
     pub exchanger: &'a Exchanger,
-    /// Records its last byte.
+    /// Records that the request's last byte is written.
     pub metrics: &'a Rc<Metrics>,
 }
 
-/// What ended an attempt that has no response.
+/// Why an attempt ended without a response.
 enum AttemptEnd {
     Failed(AttemptError),
     Cancelled,
@@ -61,9 +61,9 @@
 }
 
 impl AttemptContext<'_> {
-    /// Sends an attempt and waits for its end, or for `deadline`. Directly before the first byte `build_request` is called:
-    /// a connection takes its time to open, and what was decided before may no longer hold. `body` is the request's body,
-    /// if that is passed on as it comes.
+    /// Runs an attempt until it ends or `deadline` completes. `build_request` is called directly before the first byte
+    /// is written, since opening a connection takes time and the request may no longer be needed by then; it returns
+    /// `None` if so. `body` is the request's body if it is streamed.
     pub async fn run(
         &self,
         server: ServerId,
@@ -81,9 +81,9 @@
             },
             () = deadline => AttemptEnd::TimedOut,
         };
-        // A client that sends no more has ended it, and neither the server nor the network.
-        let is_unsent = progress.is_cancelled.get() || body.is_some_and(|body| body.has_failed());
-        let outcome = end.outcome(progress.may_have_executed(), is_unsent);
+        // If the client stopped sending the body, the failure is neither the server's nor the network's.
+        let is_stopped_locally = progress.is_cancelled.get() || body.is_some_and(|body| body.has_failed());
+        let outcome = end.outcome(progress.may_have_executed(), is_stopped_locally);
         let error = match end {
             AttemptEnd::Failed(error) => Some(error),
             AttemptEnd::Cancelled | AttemptEnd::TimedOut => None,
@@ -109,14 +109,14 @@
         let request = if self.pool.is_current(&connection) { build_request() } else { None };
         let Some(mut request) = request else {
             self.pool.check_in(connection);
-            return Err(AttemptError::TooLate);
+            return Err(AttemptError::Obsolete);
         };
-        self.start_request(server, &connection, &mut request, progress);
+        self.track_request(server, &connection, &mut request, progress);
         Ok(self.exchanger.exchange(connection, request).await?)
     }
 
-    /// Makes the progress of a request visible before its first byte.
-    fn start_request(
+    /// Registers a request in `progress` and with the connection's write counter, before its first byte is written.
+    fn track_request(
         &self,
         server: ServerId,
         connection: &PooledConnection,
@@ -124,10 +124,10 @@
         progress: &AttemptProgress,
     ) {
         let counter = &connection.http.counter;
-        let length = min_request_bytes(request);
-        let on_wire = counter.start_request(length, server, self.metrics.clone());
+        let request_bytes = min_request_bytes(request);
+        let on_wire = counter.track_request(request_bytes, server, self.metrics.clone());
         *progress.request.borrow_mut() = Some(on_wire.clone());
-        if length.is_none() {
+        if request_bytes.is_none() {
             request.body_mut().set_on_end(move || on_wire.end_with_next_byte());
         }
         let was_used = counter.written() > 0;
@@ -136,9 +136,9 @@
 }
 
 impl AttemptEnd {
-    /// The outcome. Whether a broken attempt may have executed rests on the bytes that went out and on nothing else.
-    /// `is_unsent` says that the agent or the client kept the request from being sent.
-    fn outcome(&self, may_have_executed: bool, is_unsent: bool) -> Outcome {
+    /// The outcome in the balancer's terms. Whether a failed attempt may have executed depends only on the bytes that
+    /// were written. `is_stopped_locally`: the agent or the client kept the request from being sent completely.
+    fn outcome(&self, may_have_executed: bool, is_stopped_locally: bool) -> Outcome {
         let outcome = match self {
             AttemptEnd::Failed(error) => error.outcome(),
             AttemptEnd::Cancelled => Some(Outcome::Cancelled),
@@ -146,7 +146,7 @@
         };
         if may_have_executed {
             outcome.unwrap_or(Outcome::ConnectionReset)
-        } else if is_unsent || outcome == Some(Outcome::NotSent) {
+        } else if is_stopped_locally || outcome == Some(Outcome::NotSent) {
             Outcome::NotSent
         } else {
             Outcome::ConnectFailed
@@ -154,16 +154,17 @@
     }
 }
 
-/// The bytes of a request as they go out, or a few less: short of them, its last byte is not out. `None` before a body
-/// without a known length has ended.
+/// A lower bound on the size of a request on the wire, at most a few bytes too low: while fewer bytes have been
+/// written, the last byte has not been sent. `None` for a body of unknown length.
 fn min_request_bytes(request: &Request<AttemptBody>) -> Option<u64> {
     let uri = request.uri();
-    let query = uri.query().map_or(0, |query| query.len() + "?".len());
-    let line = request.method().as_str().len() + " ".len() + uri.path().len() + query + " HTTP/1.1\r\n".len();
-    let header_bytes = |(name, value): (&hyper::header::HeaderName, &hyper::header::HeaderValue)| {
+    let query_bytes = uri.query().map_or(0, |query| query.len() + "?".len());
+    let request_line_bytes =
+        request.method().as_str().len() + " ".len() + uri.path().len() + query_bytes + " HTTP/1.1\r\n".len();
+    let header_line_bytes = |(name, value): (&hyper::header::HeaderName, &hyper::header::HeaderValue)| {
         name.as_str().len() + value.len() + ": \r\n".len()
     };
-    let headers: usize = request.headers().iter().map(header_bytes).sum();
-    let body = request.body().size_hint().exact()?;
-    Some((line + headers + "\r\n".len()) as u64 + body)
+    let header_section_bytes: usize = request.headers().iter().map(header_line_bytes).sum();
+    let body_bytes = request.body().size_hint().exact()?;
+    Some((request_line_bytes + header_section_bytes + "\r\n".len()) as u64 + body_bytes)
 }
