--- a/agent/src/endpoint_list.rs
+++ b/agent/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery words it: what it says of each server, and reading it.
+//! The endpoint list that discovery sends: its entries and its parser.
 
 mod entry;
 mod reader;
@@ -6,24 +6,25 @@
 pub use entry::{Health, Host, InvalidEntry};
 pub use reader::{Envelope, ListError, Reader};
 
-/// An endpoint list or a change of one.
+/// A complete endpoint list, or the entries that have changed since an earlier version.
 #[derive(Debug, Default)]
 pub struct List {
-    /// Its version.
+    /// Version of the list.
     pub seq: u64,
-    /// It is the complete list, not only what has changed.
+    /// Whether this is the complete list; otherwise it has only the entries that have changed.
     pub is_complete: bool,
-    /// Its servers.
+    /// The valid entries, in the order of the list.
     pub hosts: Vec<Host>,
-    /// Entries that are ignored.
+    /// Entries that are invalid and therefore ignored.
     pub invalid_entries: Vec<InvalidEntry>,
 }
 
-/// Reads a list that is there completely. An invalid entry is named apart: it must not cost the others.
+/// Parses a list that has arrived completely. Invalid entries are returned separately: one of them must not make the
+/// others unusable.
 ///
 /// # Errors
 ///
-/// The text is no list, or has more than `max_entries` entries.
+/// If the text is not an endpoint list, or has more than `max_entries` entries.
 pub fn read_list(text: &[u8], max_entries: usize) -> Result<List, ListError> {
     let (mut reader, mut entries) = (Reader::new(max_entries), Vec::new());
     reader.push(text)?;
--- a/agent/src/endpoint_list/entry.rs
+++ b/agent/src/endpoint_list/entry.rs
@@ -1,4 +1,4 @@
-//! One entry of the endpoint list: a server, and what may be wrong with how it is written.
+//! One entry of the endpoint list: parsing and validation of the description of a server.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -6,36 +6,36 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The weight of a server whose entry gives none.
+/// Weight of a server whose entry has none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// One server.
+/// A server as its entry describes it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Host {
-    /// Its name, the same at every agent.
+    /// The server's name, which is the same for every agent.
     pub name: String,
-    /// Where this agent connects to it; the entry of a removed server may lack it.
+    /// Address that this agent connects to; it may be missing unless the server is up.
     pub dial: Option<SocketAddr>,
-    /// The name of its zone.
+    /// Name of its zone; empty if the entry has none.
     pub zone: String,
-    /// Its kind of machine.
+    /// Its kind of machine; empty if the entry has none.
     pub kind: String,
-    /// Its cell.
+    /// Number of its cell; 0 if the entry has none.
     pub cell: u32,
     /// Whether it accepts requests.
     pub health: Health,
-    /// Its weight against servers of its kind; 1 unless the entry says otherwise.
+    /// Weight relative to other servers of its kind; 1 if the entry has none.
     pub weight: f64,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// Time of its last start, in Unix milliseconds; 0, also if the entry has none, means long ago.
     pub born_ms: f64,
 }
 
 /// Whether a server accepts requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// It does.
+    /// It accepts requests.
     Up,
-    /// It finishes the requests that it has.
+    /// It completes the requests that it has and accepts no others.
     Draining,
     /// It is no longer a part of the service.
     Removed,
@@ -52,44 +52,45 @@
     }
 }
 
-/// An entry that is ignored.
+/// An entry that is ignored because it is invalid.
 #[derive(Debug, Error)]
 #[error("entry {index}: {source}")]
 pub struct InvalidEntry {
-    /// Its place in the answer, from 0.
+    /// Index of the entry in the answer, from 0.
     pub index: usize,
-    /// The name of its server, if that can be read.
+    /// Name of its server, if the entry has a valid one.
     pub name: Option<String>,
-    /// What is wrong with it.
+    /// Why it is invalid.
     pub source: EntryError,
 }
 
-/// What is wrong with an entry.
+/// Why an entry is invalid.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// It is no JSON.
+    /// The entry is not valid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A value is missing or of no use.
+    /// A required value is missing or invalid.
     #[error("{key} is {found}, {expected} was expected")]
     Value {
-        /// Its key.
+        /// Key of the value.
         key: &'static str,
-        /// The value as JSON, shortened; or that it is missing.
+        /// The value as JSON, cut to 80 characters, or `missing`.
         found: String,
-        /// What is allowed there.
+        /// Description of the allowed values.
         expected: &'static str,
     },
 }
 
 impl EntryError {
-    fn value(entry: &Value, key: &'static str, expected: &'static str) -> Self {
+    fn invalid_value(entry: &Value, key: &'static str, expected: &'static str) -> Self {
         let found = entry.get(key).map(|value| format!("{:.80}", value.to_string()));
         EntryError::Value { key, found: found.unwrap_or_else(|| "missing".to_owned()), expected }
     }
 }
 
-/// An entry in which everything is valid; any other is read value by value, which tells what is wrong.
+/// An entry whose values all have the expected types. Any other is read value by value by [`host_from_values`], which
+/// replaces invalid optional values by their defaults and names the required value that is invalid.
 #[derive(Deserialize)]
 struct ValidEntry<'a> {
     #[serde(borrow)]
@@ -123,11 +124,12 @@
     }
 }
 
-/// Reads the entry at `index` of an answer from its JSON text.
+/// Parses the entry at `index` of an answer from its JSON text.
 ///
 /// # Errors
 ///
-/// It is no JSON, has no name, no known health, or no address though it accepts requests.
+/// If the text is not JSON, the name is missing, the health is missing or unknown, or the server is up and has no valid
+/// address.
 pub fn read_entry(index: usize, text: &str) -> Result<Host, InvalidEntry> {
     if let Some(host) = serde_json::from_str::<ValidEntry>(text).ok().and_then(ValidEntry::into_host) {
         return Ok(host);
@@ -146,7 +148,7 @@
 fn host_from_values(entry: &Value) -> Result<Host, EntryError> {
     let text = |key: &str| entry.get(key).and_then(Value::as_str);
     let number = |key: &str| entry.get(key).and_then(Value::as_f64);
-    let invalid = |key, expected| EntryError::value(entry, key, expected);
+    let invalid = |key, expected| EntryError::invalid_value(entry, key, expected);
     let name = text("host").filter(|name| !name.is_empty()).ok_or_else(|| invalid("host", "a name"))?;
     let health =
         text("health").and_then(Health::parse).ok_or_else(|| invalid("health", "up, draining or removed"))?;
--- a/agent/src/endpoint_list/reader.rs
+++ b/agent/src/endpoint_list/reader.rs
@@ -1,4 +1,4 @@
-//! Reads an answer of discovery as it arrives, entry by entry.
+//! An incremental parser for the endpoint lists that discovery sends.
 
 use super::entry::{read_entry, Host, InvalidEntry};
 use serde::Deserialize;
@@ -7,84 +7,84 @@
 use std::borrow::Cow;
 use thiserror::Error;
 
-/// The longest entry, and the longest of the envelope's other values, in bytes: as long as a body may be (the protocol
-/// page).
+/// Maximum length of an entry, and of every other value of the envelope; the protocol page sets the same limit for a
+/// body.
 const MAX_VALUE_BYTES: usize = 64 << 10;
-/// An entry takes some 150 bytes; an answer with more than this for each that is allowed is no list. Lists may be
-/// indented, and have fields that nobody here knows.
-const ENTRY_BYTES: usize = 1 << 10;
+/// An answer that is longer than this for each allowed entry is rejected. An entry takes some 150 bytes; the rest is for
+/// indentation and unknown fields.
+const MAX_BYTES_PER_ENTRY: usize = 1 << 10;
 
-/// What an answer says of itself beside its entries.
+/// The fields of an answer other than its entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Envelope {
-    /// The version of the list.
+    /// Version of the list.
     pub seq: u64,
-    /// The answer is the complete list, not only what has changed.
+    /// Whether the answer is the complete list; otherwise it has only the entries that have changed.
     pub is_complete: bool,
 }
 
-/// Why a text is no endpoint list.
+/// Why a text is not a valid endpoint list.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// It is longer than so many entries can be.
+    /// The text is longer than the allowed number of entries can be.
     #[error("it has over {max_bytes} bytes, {max_entries} entries at most were expected")]
     TooLong {
-        /// Bytes that are allowed.
+        /// Maximum length of the text.
         max_bytes: usize,
-        /// Entries that are allowed.
+        /// Maximum number of entries.
         max_entries: usize,
     },
-    /// It has too many entries.
+    /// The list has too many entries.
     #[error("it has over {max} entries, {max} at most were expected")]
     TooManyEntries {
-        /// Entries that are allowed.
+        /// Maximum number of entries.
         max: usize,
     },
-    /// One value is too long.
+    /// A value is longer than `MAX_VALUE_BYTES`.
     #[error("the value at byte {at} has over {MAX_VALUE_BYTES} bytes")]
     ValueTooLong {
-        /// Where the value begins.
+        /// Offset of the value in the answer.
         at: usize,
     },
-    /// A value is no JSON.
+    /// A value is not valid JSON.
     #[error("{source}, from byte {at} on")]
     InvalidValue {
-        /// Where the value begins.
+        /// Offset of the value in the answer.
         at: usize,
-        /// What is wrong with it.
+        /// The parser's error; its line and column are counted from the value's first byte.
         source: serde_json::Error,
     },
-    /// Something else stands between two values.
+    /// A byte between two values is not the expected punctuation.
     #[error("byte {at} is {found:?}, {expected} was expected")]
     UnexpectedByte {
-        /// Where it is.
+        /// Offset of the byte in the answer.
         at: usize,
-        /// The byte.
+        /// The byte that was found.
         found: char,
-        /// What is allowed there.
+        /// Description of what is allowed there.
         expected: &'static str,
     },
-    /// It ends too early.
+    /// The text ends before its object does.
     #[error("it ends after {bytes} bytes, before its object does")]
     Incomplete {
-        /// Its length.
+        /// Length of the text.
         bytes: usize,
     },
-    /// A value that every list has is missing, or of another type.
+    /// A required value is missing or has another type.
     #[error("it has no {key}, {expected} was expected")]
     MissingValue {
-        /// The value's key.
+        /// Key of the value.
         key: &'static str,
-        /// What is allowed there.
+        /// Description of what is allowed there.
         expected: &'static str,
     },
 }
 
-/// Where a reader is in an answer.
+/// Position of a reader in an answer, by what comes next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Position {
     Start,
-    /// Before a key; after a comma there has to be one.
+    /// Before a key. Only before the first one may the object end; after a comma a key has to follow.
     Key {
         is_first: bool,
     },
@@ -98,6 +98,7 @@
     End,
 }
 
+/// A key of the envelope.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Key {
     Seq,
@@ -117,17 +118,17 @@
     }
 }
 
-/// Reads an answer as it arrives, and in steps: it keeps no more of the text than what has not been read, and a step
-/// reads no more entries than it is asked for. Values are read by `serde_json`; what stands between them is read here.
+/// Parses an answer as it arrives, in steps. It buffers only the text that is not parsed yet, and a step parses no more
+/// entries than the caller asks for. `serde_json` parses the values; the punctuation between them is parsed here.
 #[derive(Debug)]
 pub struct Reader {
     max_entries: usize,
-    /// The text that has arrived, without what was dropped.
+    /// The text that has arrived, without the parsed part that was dropped.
     buffer: Vec<u8>,
-    /// Up to here the buffer is read.
+    /// Length of the parsed part of `buffer`, in bytes.
     offset: usize,
-    /// Bytes that were dropped from the front of the buffer.
-    dropped: usize,
+    /// Number of bytes dropped from the front of `buffer`.
+    dropped_bytes: usize,
     position: Position,
     entries: usize,
     seq: Option<u64>,
@@ -135,22 +136,22 @@
     has_hosts: bool,
 }
 
-/// What a step of reading came to.
+/// Result of parsing one value or one byte of punctuation.
 enum Progress {
-    /// It read on.
+    /// It was parsed, and the position has moved past it.
     Read,
-    /// The value that begins here has not arrived completely.
+    /// The value at the current offset has not arrived completely.
     NeedsMore,
 }
 
 impl Reader {
-    /// Nothing has arrived yet; an answer of more than `max_entries` entries is no list.
+    /// Creates a reader for an answer of which nothing has arrived. One with over `max_entries` entries is rejected.
     pub fn new(max_entries: usize) -> Self {
         Reader {
             max_entries,
             buffer: Vec::new(),
             offset: 0,
-            dropped: 0,
+            dropped_bytes: 0,
             position: Position::Start,
             entries: 0,
             seq: None,
@@ -159,45 +160,46 @@
         }
     }
 
-    /// Bytes that have arrived.
+    /// Number of bytes that have arrived.
     pub fn bytes(&self) -> usize {
-        self.dropped + self.buffer.len()
+        self.dropped_bytes + self.buffer.len()
     }
 
-    /// Entries that were read.
+    /// Number of entries parsed so far, valid or not.
     pub fn entries(&self) -> usize {
         self.entries
     }
 
-    /// Appends text that has arrived.
+    /// Appends bytes of the answer that have arrived.
     ///
     /// # Errors
     ///
-    /// The text is longer than any list of `max_entries` entries.
+    /// If the answer is longer than a list of `max_entries` entries may be.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), ListError> {
-        self.dropped += self.offset;
+        self.dropped_bytes += self.offset;
         self.buffer.drain(..self.offset);
         self.offset = 0;
         self.buffer.extend_from_slice(bytes);
-        let max_bytes = self.max_entries.saturating_mul(ENTRY_BYTES).max(MAX_VALUE_BYTES);
+        let max_bytes = self.max_entries.saturating_mul(MAX_BYTES_PER_ENTRY).max(MAX_VALUE_BYTES);
         if self.bytes() > max_bytes {
             return Err(ListError::TooLong { max_bytes, max_entries: self.max_entries });
         }
         Ok(())
     }
 
-    /// Reads on, up to `max` entries, which are appended to `entries`; whether there may be more in what has arrived.
+    /// Parses up to `max` entries of what has arrived and appends them to `entries`. Returns whether it stopped at that
+    /// limit, so that the text which has arrived may have more entries.
     ///
     /// # Errors
     ///
-    /// What has arrived is not the beginning of a list.
+    /// If what has arrived cannot be the beginning of a valid list.
     pub fn read(
         &mut self,
         max: usize,
         entries: &mut Vec<Result<Host, InvalidEntry>>,
     ) -> Result<bool, ListError> {
         let until = self.entries + max;
-        while let Some(next) = self.next_byte() {
+        while let Some(next) = self.peek_byte() {
             let progress = match (self.position, next) {
                 (Position::Entry { is_first: true }, b']') => self.skip_byte(Position::AfterValue),
                 (Position::Entry { .. }, _) if self.entries >= until => return Ok(true),
@@ -213,16 +215,16 @@
         Ok(false)
     }
 
-    /// Nothing but white space may follow.
+    /// Whether the object has ended, so that only white space may follow.
     pub fn is_complete(&self) -> bool {
         self.position == Position::End
     }
 
-    /// The text has ended.
+    /// Ends the reading after the last byte of the answer.
     ///
     /// # Errors
     ///
-    /// The object has not ended, or lacks its entries or its version.
+    /// If the object has not ended, or its entries or its version are missing.
     pub fn end(self) -> Result<Envelope, ListError> {
         if !self.is_complete() {
             return Err(ListError::Incomplete { bytes: self.bytes() });
@@ -234,7 +236,7 @@
         Ok(Envelope { seq: self.seq.ok_or(missing_seq)?, is_complete: self.is_complete_list })
     }
 
-    /// Reads a byte between two values.
+    /// Parses one byte of the punctuation between values.
     fn read_punctuation(&mut self, next: u8) -> Result<Progress, ListError> {
         let following = match (self.position, next) {
             (Position::Start, b'{') => Position::Key { is_first: true },
@@ -264,10 +266,10 @@
 
     fn read_key(&mut self) -> Result<Progress, ListError> {
         let key = self.parse_value::<Cow<str>, _>(|key| Key::parse(&key))?;
-        Ok(self.pass_value(key.map(Position::Colon)))
+        Ok(self.advance(key.map(Position::Colon)))
     }
 
-    /// Reads the value of a key of the envelope.
+    /// Parses the value of a key of the envelope.
     fn read_value(&mut self, key: Key) -> Result<Progress, ListError> {
         let Some(value) = self.parse_value::<Value, _>(|value| value)? else {
             return Ok(Progress::NeedsMore);
@@ -278,7 +280,7 @@
             Key::Hosts => self.has_hosts = false,
             Key::Other => {}
         }
-        Ok(self.pass_value(Some(Position::AfterValue)))
+        Ok(self.advance(Some(Position::AfterValue)))
     }
 
     fn read_next_entry(
@@ -293,40 +295,40 @@
         let Some(entry) = entry else { return Ok(Progress::NeedsMore) };
         entries.push(entry);
         self.entries += 1;
-        Ok(self.pass_value(Some(Position::AfterEntry)))
+        Ok(self.advance(Some(Position::AfterEntry)))
     }
 
-    /// The next byte that is no white space, if it has arrived.
-    fn next_byte(&mut self) -> Option<u8> {
+    /// Skips white space and returns the byte after it without consuming that; `None` if it has not arrived.
+    fn peek_byte(&mut self) -> Option<u8> {
         let rest = &self.buffer[self.offset..];
-        let blank = rest.iter().take_while(|byte| matches!(byte, b' ' | b'\t' | b'\n' | b'\r')).count();
-        self.offset += blank;
-        rest.get(blank).copied()
+        let whitespace = rest.iter().take_while(|byte| matches!(byte, b' ' | b'\t' | b'\n' | b'\r')).count();
+        self.offset += whitespace;
+        rest.get(whitespace).copied()
     }
 
     fn skip_byte(&mut self, following: Position) -> Progress {
         self.offset += 1;
-        self.pass_value(Some(following))
+        self.advance(Some(following))
     }
 
-    /// Goes on at the position that follows a value; none while that has not arrived completely.
-    fn pass_value(&mut self, following: Option<Position>) -> Progress {
+    /// Moves to the position after a value; `None` means that the value has not arrived completely.
+    fn advance(&mut self, following: Option<Position>) -> Progress {
         let Some(following) = following else { return Progress::NeedsMore };
         self.position = following;
         Progress::Read
     }
 
     fn unexpected(&self, found: u8, expected: &'static str) -> ListError {
-        ListError::UnexpectedByte { at: self.dropped + self.offset, found: char::from(found), expected }
+        ListError::UnexpectedByte { at: self.dropped_bytes + self.offset, found: char::from(found), expected }
     }
 
-    /// Parses the value that begins here and moves past it; none while it has not arrived completely.
+    /// Parses the value at the current offset and moves past it; `None` if it has not arrived completely.
     fn parse_value<'a, T: Deserialize<'a>, U>(
         &'a mut self,
         convert: impl FnOnce(T) -> U,
     ) -> Result<Option<U>, ListError> {
         let rest = &self.buffer[self.offset..];
-        let at = self.dropped + self.offset;
+        let at = self.dropped_bytes + self.offset;
         let mut values = Deserializer::from_slice(rest).into_iter::<T>();
         let value = match values.next() {
             Some(Ok(value)) => value,
@@ -337,7 +339,7 @@
             _ => return Ok(None),
         };
         let end = values.byte_offset();
-        // A number may continue in what has not arrived yet.
+        // A number may continue in bytes that have not arrived yet.
         if end == rest.len() && !matches!(rest.last(), Some(b'"' | b'}' | b']')) {
             return Ok(None);
         }
@@ -347,11 +349,11 @@
     }
 }
 
-/// Whether a text that is invalid so far may be valid once more of it has arrived: the error is at its end.
+/// Whether `error` is at the end of `text`, so that the text may become valid once more of it has arrived.
 fn is_incomplete(text: &[u8], error: &serde_json::Error) -> bool {
-    let lines = text.iter().filter(|byte| **byte == b'\n').count();
-    let last = text.iter().rev().take_while(|byte| **byte != b'\n').count();
-    error.is_eof() || (error.line() > lines && error.column() >= last)
+    let complete_lines = text.iter().filter(|byte| **byte == b'\n').count();
+    let last_line_bytes = text.iter().rev().take_while(|byte| **byte != b'\n').count();
+    error.is_eof() || (error.line() > complete_lines && error.column() >= last_line_bytes)
 }
 
 #[cfg(test)]
--- a/agent/src/endpoint_list/reader/tests.rs
+++ b/agent/src/endpoint_list/reader/tests.rs
@@ -2,7 +2,7 @@
 use crate::endpoint_list::read_list;
 
 #[test]
-fn an_answer_that_is_incomplete_or_too_long_is_named_as_such() {
+fn reports_incomplete_and_oversized_answers() {
     let entry = r#"{"host":"a","dial":"127.0.0.1:1","health":"up"}"#;
     let error = |text: &str| read_list(text.as_bytes(), 2).expect_err("no list").to_string();
     assert!(error("").contains("ends after 0 bytes"), "{}", error(""));
@@ -16,23 +16,24 @@
     assert!(error(&long).contains("bytes"), "{}", error(&long));
 }
 
-/// What is held of an endless answer is bounded, whatever it consists of.
+/// An endless answer is rejected, and the reader never buffers more than a bounded part of it, wherever the answer stops
+/// making progress: at the start, before a key, before an entry, or inside an entry.
 #[test]
-fn an_endless_answer_is_given_up_within_its_bounds() {
-    let piece = [b' '; 1 << 12];
+fn rejects_an_endless_answer_within_a_bounded_buffer() {
+    let chunk = [b' '; 1 << 12];
     for begin in ["", r#"{"seq":1,"#, r#"{"seq":1,"hosts":["#, r#"{"seq":1,"hosts":[""#] {
         let mut reader = Reader::new(1000);
         reader.push(begin.as_bytes()).expect("within bounds");
         let mut entries = Vec::new();
-        let given_up = (0..1000).find(|_| {
-            let read = reader.push(&piece).and_then(|()| reader.read(usize::MAX, &mut entries));
+        let rejected_at = (0..1000).find(|_| {
+            let read = reader.push(&chunk).and_then(|()| reader.read(usize::MAX, &mut entries));
             assert!(
-                reader.buffer.len() <= MAX_VALUE_BYTES + 2 * piece.len(),
-                "{begin}: holds {}",
+                reader.buffer.len() <= MAX_VALUE_BYTES + 2 * chunk.len(),
+                "{begin}: buffers {}",
                 reader.buffer.len()
             );
             read.is_err()
         });
-        assert!(given_up.is_some(), "{begin}");
+        assert!(rejected_at.is_some(), "{begin}");
     }
 }
--- a/agent/src/endpoint_list/tests.rs
+++ b/agent/src/endpoint_list/tests.rs
@@ -6,9 +6,9 @@
 }
 
 #[test]
-fn entries_without_sense_are_left_out_and_unknown_fields_skipped() {
-    let list = read(&json!({"seq": 7, "whole": true, "novel": 1, "hosts": [
-            {"host": "a", "dial": "127.0.0.1:1", "site": "x", "health": "up", "born_ms": 5.0, "novel": {}},
+fn ignores_invalid_entries_and_unknown_fields() {
+    let list = read(&json!({"seq": 7, "whole": true, "unknown": 1, "hosts": [
+            {"host": "a", "dial": "127.0.0.1:1", "site": "x", "health": "up", "born_ms": 5.0, "unknown": {}},
             {"host": "b", "dial": "nowhere", "health": "up"},
             {"host": "c", "dial": "127.0.0.1:1", "health": "asleep"},
             {"host": 4, "dial": "127.0.0.1:1", "health": "up"},
@@ -32,40 +32,40 @@
 }
 
 #[test]
-fn a_text_that_is_no_list_is_named_by_what_it_lacks() {
+fn errors_name_what_was_expected() {
     for value in [json!(null), json!([]), json!({"seq": 1}), json!({"seq": "1", "hosts": []})] {
-        let why = read(&value).expect_err("no list").to_string();
-        assert!(why.contains(" was expected"), "{value}: {why}");
+        let message = read(&value).expect_err("no list").to_string();
+        assert!(message.contains(" was expected"), "{value}: {message}");
     }
 }
 
-/// However an answer is cut into pieces and however few entries a step may read, it says the same.
+/// The result depends neither on how the answer is split into chunks nor on how few entries a step may parse.
 #[test]
-fn what_comes_in_pieces_reads_as_what_comes_whole() {
+fn parses_chunked_answers_like_complete_ones() {
     let entry = |name: &str, block: u32| {
         json!({"host": name, "dial": "127.0.0.1:1", "site": "x\"]}", "class": "", "block": block, "health": "up",
                "share": 0.5, "born_ms": 17, "more": [{"a": [1, "]"]}]})
     };
-    let torn = json!({"host": "torn", "health": "up"});
+    let no_address = json!({"host": "no-address", "health": "up"});
     let list =
-        json!({"seq": 12345, "whole": true, "hosts": [entry("a", 1), torn, entry("b", 22)], "z": -1.5});
+        json!({"seq": 12345, "whole": true, "hosts": [entry("a", 1), no_address, entry("b", 22)], "z": -1.5});
     let texts = [
         list.to_string(),
         serde_json::to_string_pretty(&list).expect("text"),
-        // The version and the kind may stand anywhere.
+        // The keys may have any order, with unknown ones among them.
         list.to_string().replacen("{\"hosts\"", "{\"n\":null,\"hosts\"", 1) + " \n",
     ];
     for text in &texts {
-        let whole = read_list(text.as_bytes(), 3).expect("a list");
-        assert_eq!((whole.seq, whole.hosts.len(), whole.invalid_entries.len()), (12345, 2, 1));
-        for (piece, most) in [(1, 1), (1, 100), (7, 2), (64, 1)] {
+        let expected = read_list(text.as_bytes(), 3).expect("a list");
+        assert_eq!((expected.seq, expected.hosts.len(), expected.invalid_entries.len()), (12345, 2, 1));
+        for (chunk_bytes, max_step_entries) in [(1, 1), (1, 100), (7, 2), (64, 1)] {
             let (mut reader, mut entries) = (Reader::new(3), Vec::new());
-            for bytes in text.as_bytes().chunks(piece) {
+            for bytes in text.as_bytes().chunks(chunk_bytes) {
                 reader.push(bytes).expect("within bounds");
                 loop {
                     let before = entries.len();
-                    let more = reader.read(most, &mut entries).expect("a list");
-                    assert!(entries.len() - before <= most);
+                    let more = reader.read(max_step_entries, &mut entries).expect("a list");
+                    assert!(entries.len() - before <= max_step_entries);
                     if !more {
                         break;
                     }
@@ -74,7 +74,10 @@
             let Envelope { seq, is_complete } = reader.end().expect("a list");
             assert_eq!((seq, is_complete), (12345, true));
             let hosts: Vec<Host> = entries.into_iter().filter_map(Result::ok).collect();
-            assert_eq!(hosts, whole.hosts, "in pieces of {piece}, steps of {most}");
+            assert_eq!(
+                hosts, expected.hosts,
+                "chunks of {chunk_bytes} bytes, steps of {max_step_entries} entries"
+            );
         }
     }
 }
