--- a/agent/src/check.rs
+++ b/agent/src/check.rs
@@ -1,11 +1,11 @@
-//! `balancer-agent check`: what a start would go by, for a person to read before one.
+//! `balancer-agent check`: prints what an agent would start with, for an operator to review before the start.
 
 use crate::config::Config;
 use crate::process::startup::Startup;
 use balancer::{DeduplicationScope, Idempotency};
 use std::fmt::Write;
 
-/// What a start would do, in lines.
+/// Describes what an agent would do with what it has read, one line for each setting.
 pub fn describe(startup: &Startup) -> String {
     let Startup { inherited_listener, config, fleet, log_format } = startup;
     let mut text = String::new();
@@ -21,14 +21,16 @@
     describe_config(config, &mut text);
     let _ = writeln!(text, "log as {log_format}");
     match fleet {
-        None => text.push_str("no fleet file: an agent alone\n"),
+        None => text.push_str("no fleet file: a standalone agent\n"),
         Some(fleet) => {
             let _ = writeln!(text, "fleet file {}", fleet.path.display());
             text.push_str(&fleet.contents.describe());
             let zones = fleet.contents.regions.values().flatten();
             for zone in zones.filter(|zone| !config.names.zones.contains(zone)) {
-                let _ =
-                    writeln!(text, "  note: zone {zone} is not in the settings; the list may still bring it");
+                let _ = writeln!(
+                    text,
+                    "  note: zone {zone} is not in the settings; the endpoint list may still add it"
+                );
             }
         }
     }
@@ -62,13 +64,9 @@
 fn describe_idempotency(idempotency: &Idempotency) -> &'static str {
     match idempotency {
         Idempotency::Idempotent => "idempotent",
-        Idempotency::Deduplicated { scope: DeduplicationScope::All, .. } => "repeats are dropped everywhere",
-        Idempotency::Deduplicated { scope: DeduplicationScope::Zone, .. } => {
-            "repeats are dropped within a zone"
-        }
-        Idempotency::Deduplicated { scope: DeduplicationScope::Cell, .. } => {
-            "repeats are dropped within a cell"
-        }
-        Idempotency::AtMostOnce => "never repeated",
+        Idempotency::Deduplicated { scope: DeduplicationScope::All, .. } => "deduplicated everywhere",
+        Idempotency::Deduplicated { scope: DeduplicationScope::Zone, .. } => "deduplicated within a zone",
+        Idempotency::Deduplicated { scope: DeduplicationScope::Cell, .. } => "deduplicated within a cell",
+        Idempotency::AtMostOnce => "at most once",
     }
 }
--- a/agent/src/cli.rs
+++ b/agent/src/cli.rs
@@ -12,8 +12,8 @@
 
 /// A load-balancing agent: it sends the requests of the application beside it to the renderers that discovery lists.
 ///
-/// Without a command it serves until SIGTERM and then answers what it has taken. SIGHUP reads the configuration's
-/// discovery address and the fleet file again.
+/// Without a command it serves until SIGTERM and then answers the requests that it has accepted. SIGHUP reloads the
+/// configuration's discovery address and the fleet file.
 #[derive(Parser)]
 #[command(name = "balancer-agent", version, after_help = VARIABLES)]
 struct Cli {
@@ -21,22 +21,23 @@
     command: Option<Command>,
 }
 
+/// The end of the help text: environment variables and exit codes.
 const VARIABLES: &str = "\
 Variables:
-  PROXY_CONFIG      the configuration, JSON, from the platform (needed)
-  PROXY_FLEET       the fleet file, TOML; without it the agent is alone
+  PROXY_CONFIG      the configuration, JSON, from the platform (required)
+  PROXY_FLEET       the fleet file, TOML; without it the agent is standalone
   PROXY_LISTEN, PROXY_DISCOVERY, PROXY_OPERATOR, PROXY_NAME
-                    win over the same entries of the configuration
+                    override the same entries of the configuration
   PROXY_LOG         text (the default) or json
-  PROXY_LOG_FILTER  what is logged: a level, or TARGET=LEVEL with commas between; info by default. Targets are
-                    process, request, counts, decisions, discovery, handover and admin
+  PROXY_LOG_FILTER  what is logged: a level, or TARGET=LEVEL pairs separated by commas; info by default.
+                    Targets are process, request, counts, decisions, discovery, handover and admin
   PROXY_LISTEN_FD   the descriptor of a listener to take over
 
-Exit: 0 all was answered or all is well; 2 the one line on standard error says what is wrong.";
+Exit: 0 success; 2 error, described by one line on standard error.";
 
 #[derive(Subcommand)]
 enum Command {
-    /// Read all that a start would read, say what it would do, and end
+    /// Read everything that a start reads, print what the agent would do, and exit
     Check(Check),
 }
 
@@ -61,29 +62,29 @@
     Print(#[source] io::Error),
 }
 
-/// The exit code where the line on standard error says what is wrong.
-const FAILURE: u8 = 2;
+/// Exit code of an error that a line on standard error describes.
+const EXIT_FAILURE: u8 = 2;
 
 /// Runs the program. The exit codes are those that `--help` shows.
 pub fn run(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let arguments: Vec<OsString> = arguments.collect();
-    // The usual start has nothing to read, and what would read it would take 0.3 MB of every agent.
+    // The usual start has no arguments and skips the parser, which would take 0.3 MB of memory in every agent.
     let cli = if arguments.len() < 2 { Ok(Cli { command: None }) } else { Cli::try_parse_from(arguments) };
     let result = match cli {
         Ok(Cli { command: None }) => process::run().map_err(CliError::from),
         Ok(Cli { command: Some(Command::Check(check)) }) => check.run(),
-        Err(other) => {
-            // Help and version come this way as well. Standard output may be closed already.
-            let _ = other.print();
-            return ExitCode::from(other.exit_code() as u8);
+        Err(parse_error) => {
+            // clap returns `--help` and `--version` as errors too. Standard output may be closed already.
+            let _ = parse_error.print();
+            return ExitCode::from(parse_error.exit_code() as u8);
         }
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // Standard error may be closed; the exit code says it all the same.
+            // Standard error may be closed; the exit code reports the failure all the same.
             let _ = writeln!(io::stderr(), "balancer-agent: {error}");
-            ExitCode::from(FAILURE)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
@@ -96,7 +97,7 @@
                 "PROXY_FLEET" => self.fleet.as_ref(),
                 _ => None,
             };
-            // The platform's own names are text; a path that is none cannot be theirs.
+            // The conversion loses nothing of the platform's own paths, which are valid UTF-8.
             argument.map(|path| path.to_string_lossy().into_owned()).or_else(|| std::env::var(variable).ok())
         })?;
         io::stdout().write_all(check::describe(&startup).as_bytes()).map_err(CliError::Print)
--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -2,11 +2,12 @@
 //! the decisions of `balancer` in between.
 //!
 //! Each layer uses only those before it: the endpoint list, the metrics, the log and the configuration; what both sides
-//! share (`traffic`); the servers and the agent's other processes (`upstream`, `peers`); the `driver`, an event loop that
-//! carries out what the balancer decides; the application's side and the admin API; the process that owns them all; the
-//! command line.
+//! share (`traffic`); the servers and the agent's other processes (`upstream`, `peers`); the `driver`, an event loop
+//! that carries out the decisions of the balancer; the application's side (`downstream`) and the admin API; the process that
+//! owns them all; the command line.
 //!
-//! Modules with lint levels of their own are held to those of the workspace; the package's table follows once all are.
+//! The modules with `warn` attributes satisfy these lints of the workspace. Once all modules do, the package's lint
+//! table replaces the attributes.
 
 #[warn(clippy::too_many_lines, clippy::wildcard_enum_match_arm)]
 pub mod admin;
@@ -30,6 +31,6 @@
 mod traffic;
 mod upstream;
 
-// For hosts that hold many agents in one process, as the testbed's scale tests do.
+// For programs that run many agents in one process, as the testbed's scale tests do.
 pub use config::Config;
 pub use driver::Driver;
--- a/agent/src/main.rs
+++ b/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The program, whose command line is in [`balancer_agent::cli`].
+//! The `balancer-agent` program; [`balancer_agent::cli`] reads its command line.
 
 use std::process::ExitCode;
 
--- a/agent/src/process.rs
+++ b/agent/src/process.rs
@@ -1,8 +1,9 @@
-//! One process of the agent, from its start to its last answer.
+//! The lifecycle of one process of the agent, from its start until its last request is answered.
 //!
-//! Its lifecycle has four phases: running until SIGTERM; draining, while the answers that are owed are given and, where
-//! no other process has the listener, clients are still accepted for a moment; closing, when kept connections end; or
-//! handed over, when another process accepts clients instead.
+//! A process runs until SIGTERM. If no other process has the clients' listener, it then drains: it answers the requests
+//! that it has, and still accepts clients for a moment. After that it closes: it accepts no more clients, and
+//! closes the connections on which nothing has arrived. If another process has the listener too, that one accepts the
+//! clients, and this one hands over: it closes each of its connections after the next response.
 
 pub mod shutdown;
 pub mod signals;
@@ -31,68 +32,69 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// Descriptors that are neither the application's nor the servers': files, discovery, the runtime's own.
+/// File descriptors for files, discovery and the runtime, which neither the application nor the servers may use.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// The part of the others that is the servers'. The application uses a third for its requests, and no more attempts are
-/// in flight than that; what unresponsive peers occupy until they are given up comes on top of the application's.
-const SERVERS_SHARE: usize = 3;
-/// A process that inherits its listener accepts no clients until it has an endpoint list, but waits no longer than this.
-const LIST_TIMEOUT: Duration = Duration::from_secs(4);
-/// Names the folder that the processes of an agent share.
+/// The servers get the remaining descriptors divided by this, the application the rest. The application uses a third
+/// of them all for its requests, and no more attempts are in flight than that. Its other descriptors are for
+/// unresponsive peers, which occupy theirs until they are given up.
+const SERVER_DESCRIPTORS_DIVISOR: usize = 3;
+/// How long a process that inherits its listener waits for an endpoint list before it accepts clients without one.
+const ENDPOINT_LIST_TIMEOUT: Duration = Duration::from_secs(4);
+/// Environment variable with the folder that the processes of an agent share.
 const SHARED_FOLDER_VARIABLE: &str = "TMPDIR";
 
-/// Why a process ended before its time, or never served.
+/// Why a process could not start, or ended without SIGTERM.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// What it reads at its start cannot be used.
+    /// The inherited listener, the configuration, the fleet file or the log settings cannot be used.
     #[error(transparent)]
     Startup(#[from] StartupError),
-    /// The log cannot be written.
+    /// The log cannot be started.
     #[error(transparent)]
     Log(#[from] LogError),
-    /// The runtime cannot be built.
+    /// The Tokio runtime cannot be created.
     #[error("cannot start the runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// A signal cannot be handled.
-    #[error("cannot await {signal}: {source}")]
+    /// The handler of a signal cannot be installed.
+    #[error("cannot handle {signal}: {source}")]
     Signal {
-        /// The signal's name.
+        /// Name of the signal.
         signal: &'static str,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The clients' address cannot be listened on.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The clients' address, as configured.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The balancer rejects its settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The event loop has ended. Without its timers the agent would accept requests and answer none: it is better that
-    /// it ends and is restarted.
-    #[error("the decisions have stopped")]
+    /// The event loop has stopped. Without its timers the agent would accept requests and answer none, so the process
+    /// ends and can be restarted.
+    #[error("the event loop has stopped")]
     EventLoopStopped,
 }
 
-/// Reads what the process goes by, and serves until SIGTERM.
+/// Reads the configuration, and serves until SIGTERM.
 ///
 /// # Errors
 ///
 /// If the process cannot start, or its event loop stops.
 pub fn run() -> Result<(), ProcessError> {
     let startup = Startup::read(|variable| std::env::var(variable).ok())?;
-    // Writes the last lines when it is dropped.
+    // Dropping the guard writes the last lines.
     let _log = startup.log_format.start()?;
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(ProcessError::Runtime)?;
     tokio::task::LocalSet::new().block_on(&runtime, serve(startup))
 }
 
-/// Serves until SIGTERM, and then until all that was accepted is answered.
+/// Serves until SIGTERM, and then shuts down.
 async fn serve(startup: Startup) -> Result<(), ProcessError> {
     let mut signals =
         Signals::register().map_err(|(signal, source)| ProcessError::Signal { signal, source })?;
@@ -102,11 +104,11 @@
     Ok(())
 }
 
-/// The parts of a running process.
+/// A running process.
 struct Process {
     name: String,
     fleet: Option<Fleet>,
-    /// Whether another process of the agent has, or will have, the clients' listener too.
+    /// Whether the clients' listener is inherited, so that another process of the agent has it too or will have it.
     is_listener_shared: bool,
     shutdown_times: ShutdownTimes,
     driver: Rc<Driver>,
@@ -129,9 +131,10 @@
         let bound_address = listener.local_addr().map_err(listen_error)?;
         let shutdown_times = ShutdownTimes::new(&config.settings);
         let (name, admin_address) = (config.name.clone(), config.admin_address);
-        let reserved = RESERVED_DESCRIPTORS + admin_address.map_or(0, |_| callers::MAX_DESCRIPTORS);
-        let descriptors = config.max_descriptors.saturating_sub(reserved);
-        let server_descriptors = descriptors / SERVERS_SHARE;
+        let reserved_descriptors =
+            RESERVED_DESCRIPTORS + admin_address.map_or(0, |_| callers::MAX_DESCRIPTORS);
+        let descriptors = config.max_descriptors.saturating_sub(reserved_descriptors);
+        let server_descriptors = descriptors / SERVER_DESCRIPTORS_DIVISOR;
         let driver = Driver::start(config, server_descriptors)?;
         if let Some(fleet) = &fleet {
             driver.set_regions(&fleet.contents.regions);
@@ -141,8 +144,9 @@
         let admin = Admin::new(driver.clone(), folder, name.clone(), address.to_string());
         let event_loop = tokio::task::spawn_local(driver.clone().run());
         let server = Server::new(driver.clone(), descriptors - server_descriptors);
-        let accepting = accept_clients(server.clone(), driver.clone(), listener, is_listener_shared);
-        let accept_loop = tokio::task::spawn_local(accepting);
+        let accept_clients_task =
+            accept_clients(server.clone(), driver.clone(), listener, is_listener_shared);
+        let accept_loop = tokio::task::spawn_local(accept_clients_task);
         if let Some(admin_address) = admin_address {
             tokio::task::spawn_local(admin_listener::listen(admin.clone(), admin_address));
             admin.poll_snapshot();
@@ -171,48 +175,49 @@
         }
     }
 
-    /// Answers what was accepted; bodies in transfer are not cut before the last bound.
+    /// Answers the accepted requests. Bodies in transfer are not cut off before `ShutdownTimes::give_up_at`.
     async fn shut_down(self) {
         let terminated_at = Instant::now();
         let answer_by = self.shutdown_times.answer_by(terminated_at);
         let give_up_at = self.shutdown_times.give_up_at(terminated_at);
         if self.is_listener_shared {
-            // Waiting connections are the new process's, or the next one's: the platform keeps the socket open.
+            // The new process accepts the connections in the listen queue, or the one after it does: the platform keeps
+            // the socket open.
             self.accept_loop.abort();
             self.server.hand_over(answer_by);
         } else {
             self.server.drain(answer_by);
             sleep(server::SIGTERM_ACCEPT_PERIOD).await;
             self.server.close();
-            // Connections that still wait are accepted as soon as there are descriptors.
+            // Connections still in the listen queue are accepted as descriptors become free.
             let _ = timeout_at(give_up_at, self.accept_loop).await;
         }
         while self.server.has_open_connections() && Instant::now() < give_up_at {
             sleep(FLUSH_TIME).await;
         }
         sleep(FLUSH_TIME).await;
-        tracing::info!(target: "process", "{}: all is answered", self.name);
+        tracing::info!(target: "process", "{}: shutdown complete", self.name);
     }
 }
 
-/// Accepts clients. Where the listener is shared, the other process accepts them, or they wait at the socket, until
-/// this one has an endpoint list.
+/// Accepts clients. If the listener is shared, waits first until this process has an endpoint list, for
+/// `ENDPOINT_LIST_TIMEOUT` at most; until then the other process accepts them, or they wait in the listen queue.
 async fn accept_clients(
     server: Rc<Server>,
     driver: Rc<Driver>,
     listener: TcpListener,
     is_listener_shared: bool,
 ) {
-    let has_list = async {
+    let endpoint_list_received = async {
         while is_listener_shared && !driver.is_ready() {
             sleep(FLUSH_TIME).await;
         }
     };
-    let _ = timeout(LIST_TIMEOUT, has_list).await;
+    let _ = timeout(ENDPOINT_LIST_TIMEOUT, endpoint_list_received).await;
     server.accept(listener).await;
 }
 
-/// Exchanges commands and snapshots with the agent's other process, for as long as this one runs.
+/// Exchanges operator commands and snapshots with the agent's other process, for as long as this one runs.
 async fn share_state(admin: Rc<Admin>, driver: Rc<Driver>) {
     let mut stored_at = Instant::now();
     loop {
--- a/agent/src/process/shutdown.rs
+++ b/agent/src/process/shutdown.rs
@@ -1,22 +1,22 @@
-//! How long a process has after SIGTERM, by the deadlines of its requests.
+//! The time limits of a shutdown after SIGTERM, which depend on the deadlines of the request classes.
 
 use crate::downstream::server::SIGTERM_ACCEPT_PERIOD;
 use balancer::Settings;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// SIGKILL may follow SIGTERM after this and the shortest deadline of the deployment.
+/// SIGKILL may follow SIGTERM after this time plus the shortest deadline of the deployment.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// A longer deadline counts as this for that (the protocol page).
+/// A shortest deadline that is longer than this counts as this long when SIGKILL is due (the protocol page).
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// The process may be delayed for so long between a reading of its clock and the write that depends on it.
+/// Longest delay of the process that is allowed for, between reading the clock and the write that depends on it.
 const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(150);
-/// Bodies in transfer at a planned end get so long past the last deadline.
+/// How long bodies in transfer may continue after the longest deadline.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Answers that are decided are written within this.
+/// Time within which a response is written once it is decided.
 pub const FLUSH_TIME: Duration = Duration::from_millis(30);
 
-/// The spans of a shutdown.
+/// Computes the time limits of a shutdown.
 #[derive(Debug, Clone, Copy)]
 pub struct ShutdownTimes {
     shortest_deadline: Duration,
@@ -24,7 +24,7 @@
 }
 
 impl ShutdownTimes {
-    /// By the deadlines of the classes.
+    /// Uses the deadlines of the classes in `settings`.
     pub fn new(settings: &Settings) -> Self {
         let deadlines = || settings.classes.iter().map(|class| Duration::from_micros(class.deadline.0));
         ShutdownTimes {
@@ -33,13 +33,13 @@
         }
     }
 
-    /// When each request has its answer after a SIGTERM: before the process may be killed, which would lose it.
+    /// Time by which every request is answered: the process may be killed after it, which would lose the response.
     pub fn answer_by(&self, terminated_at: Instant) -> Instant {
         let counted_deadline = self.shortest_deadline.min(MAX_COUNTED_DEADLINE);
         terminated_at + (KILL_DELAY + counted_deadline - MAX_SCHEDULING_DELAY - FLUSH_TIME)
     }
 
-    /// When bodies that are still in transfer are cut, as they may never end.
+    /// Time at which bodies still in transfer are cut off, as they may never end.
     pub fn give_up_at(&self, terminated_at: Instant) -> Instant {
         terminated_at + SIGTERM_ACCEPT_PERIOD + self.longest_deadline + BODY_TIMEOUT
     }
--- a/agent/src/process/signals.rs
+++ b/agent/src/process/signals.rs
@@ -1,4 +1,4 @@
-//! The signals of the platform, and what a running process reads again at SIGHUP.
+//! The signals that the platform sends, and the reload at SIGHUP.
 
 use crate::config::fleet::Fleet;
 use crate::config::Config;
@@ -7,20 +7,20 @@
 use std::rc::Rc;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// The signals that a process waits for.
+/// Streams of the signals that a process handles.
 pub struct Signals {
-    /// SIGTERM: serve what has been accepted, and end.
+    /// SIGTERM: answer the accepted requests, then exit.
     pub terminate: Signal,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the discovery address and the fleet file.
     pub reload: Signal,
 }
 
 impl Signals {
-    /// Takes the signals over from the platform's defaults, which end the process.
+    /// Installs the handlers; without them each of these signals ends the process.
     ///
     /// # Errors
     ///
-    /// With the name of the signal that cannot be handled.
+    /// If a handler cannot be installed; the name of its signal comes with the error.
     pub fn register() -> Result<Self, (&'static str, io::Error)> {
         let terminate = signal(SignalKind::terminate()).map_err(|error| ("SIGTERM", error))?;
         let reload = signal(SignalKind::hangup()).map_err(|error| ("SIGHUP", error))?;
@@ -28,12 +28,12 @@
     }
 }
 
-/// Reads the address of discovery and the fleet file again. What cannot be used is logged, and what was known stays in
-/// force: a wrong file must not end a running agent.
+/// Reloads the address of discovery and the fleet file. If one of them cannot be used, the error is logged and the
+/// earlier contents stay in force: an invalid file must not end a running agent.
 pub fn reload(name: &str, fleet: Option<&mut Fleet>, driver: &Rc<Driver>) {
     match Config::reload_discovery(|variable| std::env::var(variable).ok()) {
         Ok(discovery) => {
-            tracing::info!(target: "process", "{name}: discovery is at {discovery} now");
+            tracing::info!(target: "process", "{name}: the address of discovery is now {discovery}");
             driver.set_discovery_address(discovery);
         }
         Err(error) => {
@@ -49,13 +49,13 @@
     match fleet.reload(&driver.names) {
         Ok(changes) => {
             let changes = if changes.is_empty() { "nothing changed".to_owned() } else { changes.join("; ") };
-            tracing::info!(target: "process", "{name}: the fleet file is read again: {changes}");
+            tracing::info!(target: "process", "{name}: fleet file reloaded: {changes}");
             driver.set_regions(&fleet.contents.regions);
         }
         Err(error) => {
             tracing::warn!(
                 target: "process",
-                "{name}: the new fleet file is not taken, what was known stands: {error}"
+                "{name}: the new fleet file is not taken, the earlier contents stay in force: {error}"
             );
         }
     }
--- a/agent/src/process/startup.rs
+++ b/agent/src/process/startup.rs
@@ -1,4 +1,4 @@
-//! What a process goes by from its start: the inherited listener, the configuration, the fleet file and the log.
+//! What a process reads at its start: the inherited listener, the configuration, the fleet file and the log settings.
 
 use crate::config::error::ConfigError;
 use crate::config::fleet::error::FleetFileError;
@@ -10,18 +10,18 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Names the fleet file.
+/// Environment variable with the path of the fleet file.
 const FLEET_VARIABLE: &str = "PROXY_FLEET";
 
-/// Everything that a start reads.
+/// Everything that a process reads at its start.
 pub struct Startup {
-    /// The clients' listener that another process of the agent passes on, if there is one.
+    /// The clients' listener, if another process of the agent passed it on.
     pub inherited_listener: Option<TcpListener>,
-    /// The platform's configuration.
+    /// The configuration from the platform.
     pub config: Config,
     /// The fleet file, if there is one.
     pub fleet: Option<Fleet>,
-    /// How the log is written.
+    /// Format and filter of the log.
     pub log_format: LogFormat,
 }
 
@@ -37,19 +37,19 @@
     /// The fleet file cannot be used.
     #[error(transparent)]
     Fleet(#[from] FleetFileError),
-    /// The log's variables cannot be used.
+    /// The environment variables of the log have invalid values.
     #[error(transparent)]
     Log(#[from] LogError),
 }
 
 impl Startup {
-    /// Reads everything; `variable` is the environment.
+    /// Reads everything. `variable` returns the value of an environment variable.
     ///
     /// # Errors
     ///
     /// If any part is missing or cannot be used.
     pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Self, StartupError> {
-        // First, as any file that is opened could take the descriptor's number.
+        // Must come first: a file that is opened earlier could get the number of the inherited descriptor.
         let inherited_listener = listener::inherited_listener(&variable)?;
         let config = Config::load(&variable)?;
         let fleet_path = variable(FLEET_VARIABLE).filter(|path| !path.is_empty()).map(PathBuf::from);
--- a/agent/tests/told.rs
+++ b/agent/tests/told.rs
@@ -50,7 +50,7 @@
     for part in ["agent n0", "discovery at 127.0.0.1:1", "class read", "fleet t,", "region n: a"] {
         assert!(said.contains(part), "{part}: {said}");
     }
-    assert!(check(&good, None, &[]).await.1.contains("an agent alone"));
+    assert!(check(&good, None, &[]).await.1.contains("a standalone agent"));
 
     let (bad, none) = (File::new("{"), PathBuf::from("/nowhere/at/all"));
     let torn = File::new(&FLEET[..FLEET.len() - 4]);
