--- a/agent/src/log.rs
+++ b/agent/src/log.rs
@@ -1,9 +1,9 @@
-//! The log of the service: a line on each request that did not go well, and the counts of all requests every few
-//! seconds. Both are rate-limited, so that an outage overloads neither the log nor the event loop.
+//! The log of the service: a line for each request that did not succeed, and the counts of all requests every few
+//! seconds. Both are limited in rate, so that an outage overloads neither the log nor the event loop.
 //!
-//! Lines go to standard error through a thread of their own. Lines that its reader is too slow for are left out and
-//! counted, and no request waits. The way not taken is `tracing-appender`: it waits over a second for a reader at the
-//! end of the process and says so on standard output.
+//! A separate thread writes the lines to standard error. If the reader of standard error is too slow, lines are left
+//! out and counted, and no request waits. `tracing-appender` is not used, as it waits over a second for a reader when the
+//! process ends and reports that on standard output.
 
 mod counts;
 mod left_out;
@@ -26,19 +26,19 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::Registry;
 
-/// Filter of a log that `PROXY_LOG_FILTER` says nothing of.
+/// Filter if `PROXY_LOG_FILTER` is not set or empty.
 const DEFAULT_FILTER: &str = "info";
 
-/// Why the log cannot be written.
+/// Why the log cannot be started.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// `PROXY_LOG` names no format.
+    /// `PROXY_LOG` is not a format.
     #[error("PROXY_LOG is {value:?}; text or json was expected")]
     InvalidFormat {
         /// Its value.
         value: String,
     },
-    /// `PROXY_LOG_FILTER` is no filter.
+    /// `PROXY_LOG_FILTER` is not a valid filter.
     #[error(
         "PROXY_LOG_FILTER is {value:?}; a level or TARGET=LEVEL, with commas between, was expected: {source}"
     )]
@@ -48,15 +48,15 @@
         /// Why it cannot be parsed.
         source: ParseError,
     },
-    /// The thread that writes cannot be started.
+    /// The thread that writes the log cannot be started.
     #[error("cannot start the log's thread: {0}")]
     Thread(#[source] io::Error),
-    /// The process writes a log already.
+    /// The process has started a log already.
     #[error("cannot start the log: {0}")]
     AlreadyStarted(#[from] SetGlobalDefaultError),
 }
 
-/// How the log is written.
+/// Format and filter of the log.
 #[derive(Debug, Clone)]
 pub struct LogFormat {
     is_json: bool,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Writes all events of this process to standard error from now on, until the guard is dropped.
+    /// Starts the log of this process on standard error. Dropping the guard ends it and writes the last lines.
     pub fn start(&self) -> Result<LogGuard, LogError> {
         let (guard, line_writer) = writer::spawn().map_err(LogError::Thread)?;
         let subscriber = self.subscriber(line_writer, LineRateLimit::new());
@@ -87,7 +87,7 @@
         Ok(guard)
     }
 
-    /// A subscriber that writes the events which pass the filter and the rate limit to `writer`.
+    /// Creates a subscriber that writes to `writer` the events that pass the filter and the rate limit.
     fn subscriber<W>(
         &self,
         writer: W,
@@ -113,16 +113,16 @@
     }
 }
 
-/// What decides whether a line on requests is written now.
+/// Decides when a line about requests is written.
 pub struct Log {
-    /// The limit of lines on single requests.
+    /// Rate limit of the lines about single requests.
     pub request_lines: RequestLineLimit,
-    /// The regular line on the metrics.
+    /// The periodic line with the changes of the metrics.
     pub counts: CountsLog,
 }
 
 impl Log {
-    /// A log that has written nothing.
+    /// Creates the state of a log without lines; the first interval begins at `now`.
     pub fn new(now: Instant) -> Self {
         Log { request_lines: RequestLineLimit::new(now), counts: CountsLog::new(now) }
     }
--- a/agent/src/log/counts.rs
+++ b/agent/src/log/counts.rs
@@ -1,4 +1,4 @@
-//! The regular line on how the metrics have moved.
+//! The periodic line with the changes of the metrics.
 
 use super::left_out;
 use crate::metrics::{Counts, EndCounts, Metrics, OUTCOMES};
@@ -6,10 +6,10 @@
 use std::fmt::Write;
 use tokio::time::{Duration, Instant};
 
-/// How often the counts are written.
+/// Interval between two lines with the counts.
 pub(super) const COUNTS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Every outcome of an attempt, in the order in which the log names them.
+/// Every outcome of an attempt, in the order in which the log lists them.
 const ALL_OUTCOMES: [Outcome; OUTCOMES] = [
     Outcome::Success,
     Outcome::ServerError,
@@ -21,19 +21,20 @@
     Outcome::NotSent,
 ];
 
-/// When the counts were last due, and what they were.
+/// When the counts were last due, and their values at that time.
 pub struct CountsLog {
     last_due_at: Instant,
     last_counts: Counts,
 }
 
 impl CountsLog {
-    /// A log that has written no counts.
+    /// Creates the state before the first line; its interval begins at `now`.
     pub fn new(now: Instant) -> Self {
         CountsLog { last_due_at: now, last_counts: Counts::default() }
     }
 
-    /// How the counts have moved since they were last due, if they are due again and any request has moved them.
+    /// Returns the changes of the counts since they were last due, if they are due again and a request has arrived or
+    /// was invalid, or an attempt has ended, in between.
     pub fn take_due(&mut self, now: Instant, metrics: &Metrics) -> Option<CountsDelta> {
         if now.saturating_duration_since(self.last_due_at) < COUNTS_INTERVAL {
             return None;
@@ -41,21 +42,21 @@
         let counts = metrics.counts();
         let before = std::mem::replace(&mut self.last_counts, counts.clone());
         self.last_due_at = now;
-        let has_moved = counts.arrived > before.arrived
+        let has_changed = counts.arrived > before.arrived
             || counts.invalid > before.invalid
             || counts.outcomes != before.outcomes;
-        has_moved.then_some(CountsDelta { counts, before })
+        has_changed.then_some(CountsDelta { counts, before })
     }
 }
 
-/// How the counts have moved between two lines.
+/// The changes of the counts between two times at which they were due.
 pub struct CountsDelta {
     counts: Counts,
     before: Counts,
 }
 
 impl CountsDelta {
-    /// Writes the line, with the number of open connections and the balancer's summary.
+    /// Writes the line, with the number of open connections and the balancer's summary of its state.
     pub fn write(&self, connections: usize, summary: &str) {
         left_out::report(|left_out| self.write_line(left_out, connections, summary));
     }
@@ -83,7 +84,7 @@
         );
     }
 
-    /// The outcomes of attempts that have occurred, each with its number.
+    /// The outcomes of the attempts that ended in this interval, each with their number.
     fn describe_outcomes(&self) -> String {
         let mut text = String::new();
         for outcome in ALL_OUTCOMES {
--- a/agent/src/log/requests.rs
+++ b/agent/src/log/requests.rs
@@ -1,4 +1,4 @@
-//! Lines on requests that did not go well: how many may be written, and what they say of the attempts.
+//! Lines about requests that did not succeed: their rate limit, and the description of the attempts.
 
 use super::left_out;
 use balancer::{Outcome, Span};
@@ -6,43 +6,43 @@
 use std::fmt::Write;
 use tokio::time::{Duration, Instant};
 
-/// Lines on single requests within a second; the rest are only counted.
+/// Maximum number of lines about single requests within a second; the others are left out and counted.
 pub(super) const MAX_REQUEST_LINES_PER_SECOND: u32 = 20;
 
-/// An attempt without a served answer, kept until its request ends.
+/// An attempt that did not serve its request, kept until the request ends.
 pub struct FailedAttempt {
-    /// The server's name on the endpoint list.
+    /// Name of the server on the endpoint list.
     pub server: String,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// The status of the server's answer, if there was one.
+    /// Status code of the server's response, if there was one.
     pub status: Option<StatusCode>,
-    /// How long its connection had been idle before, if it was a kept one.
+    /// How long its connection had been idle; `None` for a new connection.
     pub connection_idle: Option<Duration>,
-    /// What was wrong with its connection or its answer.
+    /// Error of its connection or its response, if there was one.
     pub error: Option<String>,
-    /// How long it was in flight, connecting included.
+    /// Time that it was in flight, including the time to connect.
     pub elapsed: Span,
 }
 
-/// Limits the lines on requests to a number a second.
+/// Limits the number of lines about single requests per second.
 pub struct RequestLineLimit {
-    second_began_at: Instant,
+    second_started_at: Instant,
     lines: u32,
 }
 
 impl RequestLineLimit {
-    /// A limit that has seen no line.
+    /// Creates a limit whose first second begins at `now`.
     pub fn new(now: Instant) -> Self {
-        RequestLineLimit { second_began_at: now, lines: 0 }
+        RequestLineLimit { second_started_at: now, lines: 0 }
     }
 
-    /// Counts a line on a request; whether it is within the limit of this second.
+    /// Counts a line about a request, and returns whether it is within the limit of the current second.
     pub fn admit_line(&mut self, now: Instant) -> bool {
-        if now.saturating_duration_since(self.second_began_at) >= Duration::from_secs(1) {
-            self.second_began_at = now;
+        if now.saturating_duration_since(self.second_started_at) >= Duration::from_secs(1) {
+            self.second_started_at = now;
             self.lines = 0;
         }
         self.lines = self.lines.saturating_add(1);
@@ -54,7 +54,7 @@
     }
 }
 
-/// The failed attempts at a request in one short text.
+/// Describes the failed attempts of a request in one line.
 pub fn describe_attempts(attempts: &[FailedAttempt]) -> String {
     let mut text = String::new();
     for attempt in attempts {
--- a/agent/src/log/tests.rs
+++ b/agent/src/log/tests.rs
@@ -12,10 +12,10 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::time::Duration;
 
-/// Locked by each test that reads the number of lines left out, of which a process keeps one.
+/// Locked by each test that reads the number of lines left out, which all tests of the process share.
 static LEFT_OUT_LOCK: Mutex<()> = Mutex::new(());
 
-/// Collects what is written.
+/// A writer that collects the text.
 #[derive(Clone, Default)]
 struct CollectedLines(Arc<Mutex<Vec<u8>>>);
 
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn request_lines_are_limited_and_counts_report_how_the_metrics_moved() {
+fn limits_request_lines_and_reports_the_changes_of_the_counts() {
     let _lock = LEFT_OUT_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let start = Instant::now();
     let mut log = Log::new(start);
@@ -84,16 +84,16 @@
     assert!(log.counts.take_due(start + 2 * COUNTS_INTERVAL, &metrics).is_none());
 }
 
-/// Lines over the limit of a second are left out; the counts are always written.
+/// Lines over the limit of a second are left out, except for lines with the counts.
 #[test]
-fn a_flood_of_lines_is_limited() {
+fn limits_lines_per_second_except_counts() {
     let text = written_lines(&format("json", "").expect("a format"), || {
         (0..10 * MAX_LINES_PER_SECOND).for_each(|n| tracing::warn!(target: "request", n, "flood"));
         tracing::info!(target: "counts", "here");
     });
     let lines: Vec<serde_json::Value> =
         text.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
-    // The second may have turned meanwhile.
+    // The lines may be written in two different seconds.
     assert!(
         (MAX_LINES_PER_SECOND as usize..=2 * MAX_LINES_PER_SECOND as usize + 1).contains(&lines.len()),
         "{}",
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn format_and_filter_are_read_strictly() {
+fn rejects_invalid_formats_and_filters() {
     let format_and_filter = format("text", "warn,request=debug").expect("a format");
     let text = written_lines(&format_and_filter, || {
         tracing::debug!(target: "request", "one");
@@ -115,9 +115,9 @@
     assert!(format("", "request=loud").expect_err("no level").contains("PROXY_LOG_FILTER"));
 }
 
-/// When the reader has stopped, lines are left out, and their writers do not wait.
+/// When the reader has stopped, lines over the queue's capacity are left out, and writing them does not block.
 #[test]
-fn no_writer_waits_for_the_reader() {
+fn writing_a_line_does_not_wait_for_the_reader() {
     let (queue, lines) = sync_channel::<LogMessage>(MAX_QUEUED_LINES);
     let subscriber =
         format("", "").expect("a format").subscriber(LineWriter(queue.clone()), LineRateLimit::new());
@@ -129,12 +129,13 @@
     drop(LogGuard(queue));
 }
 
-/// When the line with the number of lines left out is itself left out, the next line reports them all, itself included.
+/// If the line that reports the number of lines left out is itself left out, the next such line reports all of them,
+/// including the earlier report.
 #[test]
-fn lines_left_out_are_reported_although_a_counts_line_is_left_out() {
+fn reports_lines_left_out_after_a_report_was_left_out() {
     let _lock = LEFT_OUT_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
-    /// More than the other tests of this process leave out meanwhile.
-    const MANY: u64 = 1_000_000;
+    /// More lines than the other tests of this process leave out in the meantime.
+    const LINES_LEFT_OUT: u64 = 1_000_000;
     let (queue, lines) = sync_channel::<LogMessage>(1);
     let subscriber = format("", "").expect("a format").subscriber(LineWriter(queue), LineRateLimit::new());
     let metrics = Metrics::new(1);
@@ -143,26 +144,26 @@
     let delta = Log::new(start).counts.take_due(start + COUNTS_INTERVAL, &metrics).expect("a line");
     tracing::subscriber::with_default(subscriber, || {
         tracing::info!(target: "process", "fills the queue");
-        LEFT_OUT.fetch_add(MANY, Relaxed);
-        delta.write(0, "not taken");
+        LEFT_OUT.fetch_add(LINES_LEFT_OUT, Relaxed);
+        delta.write(0, "left out");
         assert!(
             matches!(lines.try_recv(), Ok(LogMessage::Line(text)) if text.ends_with(b"fills the queue\n"))
         );
-        delta.write(0, "taken");
+        delta.write(0, "queued");
     });
     let Ok(LogMessage::Line(text)) = lines.try_recv() else { panic!("no line") };
     let text = String::from_utf8(text).expect("text");
     let reported =
         text.split_once("left_out=").and_then(|(_, rest)| rest.split(' ').next()?.parse::<u64>().ok());
-    assert!(reported > Some(MANY), "{text}");
-    assert!(LEFT_OUT.load(Relaxed) < MANY, "reported twice");
+    assert!(reported > Some(LINES_LEFT_OUT), "{text}");
+    assert!(LEFT_OUT.load(Relaxed) < LINES_LEFT_OUT, "reported twice");
 }
 
-/// What a line on a request costs the core that serves: `cargo test --release -p balancer-agent --lib -- --ignored
-/// --nocapture line_costs`.
+/// Measures the time that a line about a request costs the thread of the event loop: `cargo test --release -p
+/// balancer-agent --lib -- --ignored --nocapture cost_of_a_line`.
 #[test]
 #[ignore = "a measurement"]
-fn what_a_line_costs() {
+fn cost_of_a_line() {
     for log in ["text", "json"] {
         let (queue, lines) = sync_channel::<LogMessage>(MAX_QUEUED_LINES);
         let reader = std::thread::spawn(move || lines.iter().count());
@@ -181,9 +182,9 @@
             started_at.elapsed()
         });
         println!(
-            "{log}: {:.0} ns a line, {} taken",
+            "{log}: {:.0} ns per line, {} lines queued",
             elapsed.as_nanos() as f64 / n as f64,
-            reader.join().expect("taken")
+            reader.join().expect("reader thread")
         );
     }
 }
--- a/agent/src/log/writer.rs
+++ b/agent/src/log/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes the log, and the bounded queue of lines that wait for it.
+//! The thread that writes the log, and the bounded queue of its lines.
 
 use super::left_out;
 use std::io::{self, Write};
@@ -7,18 +7,18 @@
 use std::time::Duration;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Lines that wait for a slow reader; more are left out.
+/// Maximum number of lines that are is_queued while the reader is slow; more are left out.
 pub(super) const MAX_QUEUED_LINES: usize = 1024;
-/// How long the end of the process waits until its last lines are written.
+/// How long the process waits at its end for its last lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pause before the next write to an output that takes nothing at the moment.
+/// Pause before the next write to a non-blocking output that would block.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the log's thread receives.
+/// A message to the log's thread.
 pub(super) enum LogMessage {
     /// A line to write.
     Line(Vec<u8>),
-    /// A request to confirm that all lines before it were written.
+    /// A request to confirm that all earlier lines were written.
     Flush(SyncSender<()>),
 }
 
@@ -32,22 +32,22 @@
 fn write_messages(messages: &Receiver<LogMessage>) {
     for message in messages {
         match message {
-            // An output that is closed must not end the agent.
+            // A closed output must not end the agent.
             LogMessage::Line(line) => {
                 if write_all_blocking(&mut io::stderr(), &line).is_err() {
                     left_out::count_line();
                 }
             }
             LogMessage::Flush(confirmation) => {
-                // The process may have stopped waiting for it.
+                // The receiver may have timed out.
                 let _ = confirmation.send(());
             }
         }
     }
 }
 
-/// Writes a line completely. Another process that shares the descriptor may have made it non-blocking: the write is
-/// then retried.
+/// Writes a line completely. Another process that shares the descriptor may have made it non-blocking, so a write that
+/// would block is retried.
 fn write_all_blocking(output: &mut impl Write, mut line: &[u8]) -> io::Result<()> {
     while !line.is_empty() {
         match output.write(line) {
@@ -61,7 +61,7 @@
     Ok(())
 }
 
-/// Keeps the log of a process; when it is dropped the last lines are written, if their reader is fast enough.
+/// Keeps the log running. Dropping it waits for the last lines to be written, but not longer than `FLUSH_TIMEOUT`.
 pub struct LogGuard(pub(super) SyncSender<LogMessage>);
 
 impl Drop for LogGuard {
@@ -72,21 +72,21 @@
             }
         });
         let (confirmation, flushed) = sync_channel(1);
-        // A full queue has no reader: there is nothing to wait for.
+        // If the queue is full the reader has stopped, and waiting would be in vain.
         if self.0.try_send(LogMessage::Flush(confirmation)).is_ok() {
             let _ = flushed.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
-/// Queues lines for the log's thread, each completely or not at all, and never waits.
+/// Queues lines for the log's thread without blocking, each line completely or not at all.
 #[derive(Clone)]
 pub(super) struct LineWriter(pub(super) SyncSender<LogMessage>);
 
 impl Write for LineWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let queued = self.0.try_send(LogMessage::Line(line.to_vec())).is_ok();
-        left_out::record_line(queued);
+        let is_queued = self.0.try_send(LogMessage::Line(line.to_vec())).is_ok();
+        left_out::record_line(is_queued);
         Ok(line.len())
     }
 
