--- a/agent/src/metrics.rs
+++ b/agent/src/metrics.rs
@@ -1,5 +1,5 @@
-//! What the agent has done since its start, counted once, where it happens. The admin API reports these counts and the
-//! log writes how they have moved, so that both agree.
+//! Counts of requests and attempts since the agent's start, each counted once, where it happens. The admin API reports
+//! these counts and the log their changes, so that the two agree.
 
 use crate::admin_api::Counters;
 use balancer::{Outcome, ServerId};
@@ -7,48 +7,48 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// How many outcomes an attempt can have.
+/// Number of possible outcomes of an attempt.
 pub const OUTCOMES: usize = 8;
 
 /// How a request ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RequestEnd {
-    /// With a server's answer.
+    /// A server answered it.
     Served,
-    /// Rejected by the balancer.
+    /// The balancer rejected it.
     Rejected,
-    /// Failed.
+    /// It was answered with an error, or its response broke off.
     Failed,
-    /// The client disconnected, or the request's time was up before its outcome was known; it counts as failed too.
+    /// The client disconnected, or the deadline passed before the outcome was known. It counts as failed too.
     Abandoned,
 }
 
-/// The requests of one class that have ended.
+/// Requests of one class that have ended, by how they ended.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndCounts {
-    /// Those that were served.
+    /// Requests that were served.
     pub served: u64,
-    /// Those that were rejected.
+    /// Requests that the balancer rejected.
     pub rejected: u64,
-    /// Those that failed or were abandoned.
+    /// Requests that failed or were abandoned.
     pub failed: u64,
 }
 
-/// The attempts at one server.
+/// Attempts at one server or, as sums, at several.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AttemptCounts {
-    /// Written completely.
+    /// Attempts whose last byte was written.
     pub sends: u64,
-    /// Served.
+    /// Attempts that succeeded.
     pub answered: u64,
-    /// Failed: an error, no answer in time, no connection or a broken one.
+    /// Attempts that failed: a server error, a timeout, or a connection that could not be opened or broke.
     pub failed: u64,
-    /// Rejected by the server unprocessed.
+    /// Attempts that the server rejected without processing them.
     pub rejected: u64,
 }
 
 impl AttemptCounts {
-    /// Adds the attempts at another server.
+    /// Adds the counts of another server.
     pub fn add(&mut self, other: &AttemptCounts) {
         self.sends += other.sends;
         self.answered += other.answered;
@@ -56,7 +56,7 @@
         self.rejected += other.rejected;
     }
 
-    /// Adds an attempt that has ended.
+    /// Counts an attempt that has ended. Cancelled attempts and those not sent are not counted here.
     fn record(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Success => self.answered += 1,
@@ -69,37 +69,37 @@
     }
 }
 
-/// All counts since the start.
+/// All counts since the agent's start.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Counts {
-    /// Requests that have arrived completely, or were answered before.
+    /// Valid requests that have arrived completely, or were answered before that.
     pub arrived: u64,
-    /// How they ended, by class.
+    /// How the requests ended, indexed by class.
     pub ends: Vec<EndCounts>,
-    /// Rejected requests without an attempt.
+    /// Requests that were rejected without any attempt.
     pub rejected_unsent: u64,
-    /// Failed requests whose client had disconnected.
+    /// Requests that ended as [`RequestEnd::Abandoned`].
     pub abandoned: u64,
-    /// Attempts written completely to a server.
+    /// Attempts whose last byte was written to a server.
     pub sends: u64,
-    /// Invalid requests; they are not among those that arrived.
+    /// Invalid requests, which `arrived` does not include.
     pub invalid: u64,
-    /// Attempts by their outcome.
+    /// Attempts that have ended, indexed by [`Outcome`].
     pub outcomes: [u64; OUTCOMES],
 }
 
 impl Counts {
-    /// The sum over all classes of what `count` selects.
+    /// Sum over all classes of the count that `count` selects.
     pub fn total(&self, count: impl Fn(&EndCounts) -> u64) -> u64 {
         self.ends.iter().map(count).sum()
     }
 
-    /// Requests that have arrived and not ended.
+    /// Requests that have arrived but not ended.
     pub fn current(&self) -> u64 {
         self.arrived.saturating_sub(self.total(|ends| ends.served + ends.rejected + ends.failed))
     }
 
-    /// Adds the end of a request after this many attempts.
+    /// Counts the end of a request after the given number of attempts.
     fn record_end(&mut self, class: usize, end: RequestEnd, attempts: u32) {
         self.rejected_unsent += u64::from(end == RequestEnd::Rejected && attempts == 0);
         self.abandoned += u64::from(end == RequestEnd::Abandoned);
@@ -112,55 +112,55 @@
     }
 }
 
-/// The counts, shared by all that record into them.
+/// The counts, shared by all parts of the agent that record into them.
 pub struct Metrics {
     counts: RefCell<Counts>,
     by_server: RefCell<HashMap<ServerId, AttemptCounts>>,
 }
 
 impl Metrics {
-    /// Metrics with nothing recorded.
+    /// Creates metrics for this number of classes, with nothing recorded.
     pub fn new(classes: usize) -> Rc<Self> {
         let counts = Counts { ends: vec![EndCounts::default(); classes], ..Counts::default() };
         Rc::new(Metrics { counts: RefCell::new(counts), by_server: RefCell::default() })
     }
 
-    /// The counts at this moment.
+    /// A copy of the current counts.
     pub fn counts(&self) -> Counts {
         self.counts.borrow().clone()
     }
 
-    /// Records a request of this class that has arrived completely.
+    /// Begins a request of this class that has arrived completely.
     pub fn begin_request(self: &Rc<Self>, class: usize) -> RequestMetrics {
         let mut request = self.begin_upload(class);
         request.mark_arrived();
         request
     }
 
-    /// Begins a request of this class whose body is still arriving. It counts once that is complete, or once it has
-    /// its answer.
+    /// Begins a request of this class whose body is still arriving. It is counted once the body is complete or the
+    /// request is answered, whichever comes first.
     pub fn begin_upload(self: &Rc<Self>, class: usize) -> RequestMetrics {
         let end = RequestEnd::Abandoned;
         RequestMetrics { metrics: self.clone(), class, has_arrived: false, end, attempts: 0 }
     }
 
-    /// The attempts at each server.
+    /// A copy of the counts of attempts at each server.
     pub fn attempts_by_server(&self) -> HashMap<ServerId, AttemptCounts> {
         self.by_server.borrow().clone()
     }
 
-    /// Forgets a server; the attempts at it.
+    /// Removes a server and returns the counts of the attempts at it, if there were any.
     pub fn forget_server(&self, server: ServerId) -> Option<AttemptCounts> {
         self.by_server.borrow_mut().remove(&server)
     }
 
-    /// Records that the last byte of an attempt has been written.
+    /// Records that the last byte of an attempt at this server was written.
     pub fn record_send(&self, server: ServerId) {
         self.counts.borrow_mut().sends += 1;
         self.by_server.borrow_mut().entry(server).or_default().sends += 1;
     }
 
-    /// Records an invalid request.
+    /// Records a request that was invalid.
     pub fn record_invalid_request(&self) {
         self.counts.borrow_mut().invalid += 1;
     }
@@ -172,14 +172,14 @@
     }
 }
 
-/// Records the end of one request exactly once: it cannot end twice, and one that is dropped without an end was
-/// abandoned.
+/// Records the end of one request exactly once: [`RequestMetrics::end`] consumes it, and a request that is dropped
+/// without it counts as abandoned.
 pub struct RequestMetrics {
     metrics: Rc<Metrics>,
     class: usize,
     has_arrived: bool,
     end: RequestEnd,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
 }
 
@@ -200,7 +200,7 @@
 
 impl Drop for RequestMetrics {
     fn drop(&mut self) {
-        // What never arrived completely and has no answer does not count as a request.
+        // A request that neither arrived completely nor was answered is not counted.
         if !self.has_arrived && self.end == RequestEnd::Abandoned {
             return;
         }
@@ -209,7 +209,8 @@
     }
 }
 
-/// The counts as the admin API reports them, with the number of listed servers and of those that get next to nothing.
+/// Converts the counts to the form of the admin API. `listed` is the number of servers on the endpoint list, `avoided`
+/// of those among them that get hardly any requests.
 pub fn report(counts: &Counts, classes: &[String], listed: usize, avoided: usize) -> Counters {
     let by_class = |count: fn(&EndCounts) -> u64| -> BTreeMap<String, u64> {
         classes.iter().zip(&counts.ends).map(|(name, ends)| (name.clone(), count(ends))).collect()
--- a/agent/src/metrics/tests.rs
+++ b/agent/src/metrics/tests.rs
@@ -2,7 +2,7 @@
 use serde_json::json;
 
 #[test]
-fn each_request_ends_in_exactly_one_way() {
+fn counts_the_end_of_each_request_once() {
     let metrics = Metrics::new(2);
     let mut requests: Vec<RequestMetrics> = [0, 0, 1, 1, 1].map(|class| metrics.begin_request(class)).into();
     assert_eq!(metrics.counts().current(), 5);
@@ -15,7 +15,7 @@
     assert_eq!(metrics.counts().current(), 1);
     drop(requests);
     drop(metrics.begin_upload(0));
-    assert_eq!(metrics.counts().arrived, 5, "one that never arrived completely is not counted");
+    assert_eq!(metrics.counts().arrived, 5, "an incomplete request is not counted");
     metrics.record_send(ServerId(1));
     let counts = metrics.counts();
     assert_eq!((counts.current(), counts.rejected_unsent, counts.abandoned), (0, 1, 1));
