--- a/agent/src/endpoint_list/reader.rs
+++ b/agent/src/endpoint_list/reader.rs
@@ -10,8 +10,8 @@
 /// Maximum length of an entry, and of every other value of the envelope; the protocol page sets the same limit for a
 /// body.
 const MAX_VALUE_BYTES: usize = 64 << 10;
-/// An answer that is longer than this for each allowed entry is rejected. An entry takes some 150 bytes; the rest is for
-/// indentation and unknown fields.
+/// An answer that is longer than this for each allowed entry is rejected. An entry takes some 150 bytes; the rest is
+/// for indentation and unknown fields.
 const MAX_BYTES_PER_ENTRY: usize = 1 << 10;
 
 /// The fields of an answer other than its entries.
