--- a/src/selection.rs
+++ b/src/selection.rs
@@ -127,7 +127,7 @@
         let price = self.settings.prices.health_check * self.max_candidates(fleet) as f64;
         self.settings.health_checks
             && self.settings.report_source == ReportSource::HealthChecks
-            && fleet.load_reports.have_requests()
+            && fleet.load_reports.have_request_counts()
             && price <= MAX_QUERY_PRICE
             && fleet.is_sparse()
     }
@@ -213,7 +213,7 @@
         }
         let competitors = if self.queries_load(fleet) { self.max_candidates(fleet) } else { 1 };
         let factor = fleet.slow_start_factor(now, server);
-        !is_sparse || fleet.slow_start.passes_draw(factor, competitors, rng)
+        !is_sparse || fleet.slow_start.accepts_candidate(factor, competitors, rng)
     }
 
     /// Candidates from a scan of the servers, for when no draw has found one.
