--- a/agent/src/endpoint_list/reader/tests.rs
+++ b/agent/src/endpoint_list/reader/tests.rs
@@ -16,8 +16,8 @@
     assert!(error(&long).contains("bytes"), "{}", error(&long));
 }
 
-/// An endless answer is rejected, and the reader never buffers more than a bounded part of it, wherever the answer stops
-/// making progress: at the start, before a key, before an entry, or inside an entry.
+/// An endless answer is rejected, and the reader buffers a bounded part of it, wherever its white space begins: at the
+/// start, before a key, before an entry, or inside an entry.
 #[test]
 fn rejects_an_endless_answer_within_a_bounded_buffer() {
     let chunk = [b' '; 1 << 12];
--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! Each layer uses only those before it: the endpoint list, the metrics, the log and the configuration; what both sides
 //! share (`traffic`); the servers and the agent's other processes (`upstream`, `peers`); the `driver`, an event loop
-//! that carries out the decisions of the balancer; the application's side (`downstream`) and the admin API; the process that
-//! owns them all; the command line.
+//! that carries out the decisions of the balancer; the application's side (`downstream`) and the admin API; the process
+//! that owns them all; the command line.
 //!
 //! The modules with `warn` attributes satisfy these lints of the workspace. Once all modules do, the package's lint
 //! table replaces the attributes.
--- a/agent/src/log.rs
+++ b/agent/src/log.rs
@@ -2,8 +2,8 @@
 //! seconds. Both are limited in rate, so that an outage overloads neither the log nor the event loop.
 //!
 //! A separate thread writes the lines to standard error. If the reader of standard error is too slow, lines are left
-//! out and counted, and no request waits. `tracing-appender` is not used, as it waits over a second for a reader when the
-//! process ends and reports that on standard output.
+//! out and counted, and no request waits. `tracing-appender` is not used, as it waits over a second for a reader when
+//! the process ends and reports that on standard output.
 
 mod counts;
 mod left_out;
