--- a/agent/src/downstream/server.rs
+++ b/agent/src/downstream/server.rs
@@ -68,7 +68,7 @@
     /// Accepts connections until the process enters [`Phase::Closing`], then those that still wait in the accept queue.
     /// Dropping the future stops it at any time.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
-        self.driver.accepts.set(true);
+        self.driver.is_accepting.set(true);
         let mut phases = self.handler.lifecycle().subscribe();
         tokio::select! {
             () = self.accept_all(&listener) => return,
@@ -145,7 +145,7 @@
     }
 
     fn enter_phase(&self, phase: Phase) {
-        self.driver.accepts.set(false);
+        self.driver.is_accepting.set(false);
         self.handler.lifecycle().enter(phase);
     }
 
