--- a/agent/src/driver/known_server.rs
+++ b/agent/src/driver/known_server.rs
@@ -1,6 +1,6 @@
 //! A known server: its name and its last valid entry of the endpoint list, converted to the balancer's types.
 
-use crate::endpoint_list::{Health, Host};
+use crate::endpoint_list::{Health, ServerEntry};
 use balancer::{CellId, Endpoint, KindId, ServerId, Status, Time, ZoneId};
 use balancer_settings::{fnv1a, Names};
 use std::net::SocketAddr;
@@ -45,10 +45,10 @@
     }
 
     /// Marks the server as removed and returns an entry that says so, or `None` if it has never been listed.
-    pub fn remove(&mut self) -> Option<Host> {
+    pub fn remove(&mut self) -> Option<ServerEntry> {
         let listed = self.listed.as_mut()?;
         listed.endpoint.status = Status::Gone;
-        Some(Host {
+        Some(ServerEntry {
             name: self.name.clone(),
             dial: listed.address,
             zone: String::new(),
@@ -62,7 +62,7 @@
 }
 
 /// Converts an entry to the balancer's type. `started` is the start of the server process in the balancer's time.
-pub fn to_endpoint(server: ServerId, host: &Host, names: &Names, started: Option<Time>) -> Endpoint {
+pub fn to_endpoint(server: ServerId, host: &ServerEntry, names: &Names, started: Option<Time>) -> Endpoint {
     Endpoint {
         server,
         zone: ZoneId(index_or_hash(&host.zone, &names.zones)),
--- a/agent/src/driver/servers.rs
+++ b/agent/src/driver/servers.rs
@@ -7,7 +7,7 @@
 
 use super::clock::WallClock;
 use super::known_server::{start_unix_time, to_endpoint, KnownServer, ListedServer};
-use crate::endpoint_list::{Envelope, Health, Host, InvalidEntry, List};
+use crate::endpoint_list::{Envelope, Health, InvalidEntry, List, ServerEntry};
 use crate::metrics::AttemptCounts;
 use balancer::{Endpoint, ServerId, Status, Time, ZoneId};
 use balancer_settings::{fnv1a, Names};
@@ -28,7 +28,7 @@
     /// The sequence number of the response; servers that it names get it as their [`KnownServer::last_response`].
     number: u64,
     /// New servers that are not applied yet.
-    added: VecDeque<Host>,
+    added: VecDeque<ServerEntry>,
     /// New servers that are ignored because [`Servers::max_servers`] is reached.
     over_capacity: usize,
     invalid_entries: usize,
@@ -151,7 +151,7 @@
 
     /// When the server process of an entry started, in the balancer's time. If the entry has the known start time,
     /// the known conversion is kept, so that a later step of the wall clock does not move it.
-    fn start_time_of_entry(&self, server: ServerId, host: &Host) -> Option<Time> {
+    fn start_time_of_entry(&self, server: ServerId, host: &ServerEntry) -> Option<Time> {
         let listed_start_time = start_unix_time(host.born_ms)?;
         let is_unchanged = self.listed_start_time(server) == Some(listed_start_time);
         self.start_time(server)
@@ -191,9 +191,9 @@
     /// entry that changes something and the id of its server.
     pub fn apply_entries(
         &mut self,
-        entries: Vec<Result<Host, InvalidEntry>>,
+        entries: Vec<Result<ServerEntry, InvalidEntry>>,
         names: &Names,
-        mut on_change: impl FnMut(ServerId, &Host),
+        mut on_change: impl FnMut(ServerId, &ServerEntry),
     ) -> Vec<Endpoint> {
         let mut endpoints = Vec::new();
         for entry in entries {
@@ -211,7 +211,7 @@
     }
 
     /// Queues an unknown server to be added when the response has ended.
-    fn add(&mut self, host: Host) {
+    fn add(&mut self, host: ServerEntry) {
         // Removing an unknown server changes nothing.
         if host.health == Health::Removed {
             return;
@@ -265,7 +265,7 @@
         &mut self,
         max: usize,
         names: &Names,
-        mut on_change: impl FnMut(ServerId, &Host),
+        mut on_change: impl FnMut(ServerId, &ServerEntry),
     ) -> AppliedStep {
         let mut endpoints = Vec::new();
         while endpoints.len() < max {
@@ -290,7 +290,7 @@
         &mut self,
         list: List,
         names: &Names,
-        mut on_change: impl FnMut(ServerId, &Host),
+        mut on_change: impl FnMut(ServerId, &ServerEntry),
     ) -> Vec<Endpoint> {
         self.begin_response();
         let invalid = list.invalid_entries.into_iter().map(Err);
@@ -305,9 +305,9 @@
     fn apply_entry(
         &mut self,
         server: ServerId,
-        host: &Host,
+        host: &ServerEntry,
         names: &Names,
-        on_change: &mut impl FnMut(ServerId, &Host),
+        on_change: &mut impl FnMut(ServerId, &ServerEntry),
     ) -> Option<Endpoint> {
         let endpoint = to_endpoint(server, host, names, self.start_time_of_entry(server, host));
         self.record_zone_name(endpoint.zone, &host.zone);
@@ -337,7 +337,11 @@
     }
 
     /// Removes a server that a complete list does not name. Its last entry is kept, marked as removed.
-    fn remove(&mut self, server: ServerId, on_change: &mut impl FnMut(ServerId, &Host)) -> Option<Endpoint> {
+    fn remove(
+        &mut self,
+        server: ServerId,
+        on_change: &mut impl FnMut(ServerId, &ServerEntry),
+    ) -> Option<Endpoint> {
         let known = self.known.get_mut(&server)?;
         let host = known.remove()?;
         let endpoint = known.listed.as_ref()?.endpoint.clone();
--- a/agent/src/driver/servers/tests.rs
+++ b/agent/src/driver/servers/tests.rs
@@ -30,7 +30,7 @@
     /// Applies an entry whose server started at the wall-clock reading `started_at`, and returns the changes for the
     /// balancer.
     fn apply(&mut self, started_at: Time, health: Health) -> Vec<Endpoint> {
-        let host = Host {
+        let host = ServerEntry {
             name: "s".into(),
             dial: None,
             zone: "a".into(),
--- a/agent/src/endpoint_list.rs
+++ b/agent/src/endpoint_list.rs
@@ -3,7 +3,7 @@
 mod entry;
 mod reader;
 
-pub use entry::{Health, Host, InvalidEntry};
+pub use entry::{Health, InvalidEntry, ServerEntry};
 pub use reader::{Envelope, ListError, Reader};
 
 /// A complete endpoint list, or the entries that have changed since an earlier version.
@@ -14,7 +14,7 @@
     /// Whether this is the complete list; otherwise it has only the entries that have changed.
     pub is_complete: bool,
     /// The valid entries, in the order of the list.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<ServerEntry>,
     /// Entries that are invalid and therefore ignored.
     pub invalid_entries: Vec<InvalidEntry>,
 }
--- a/agent/src/endpoint_list/entry.rs
+++ b/agent/src/endpoint_list/entry.rs
@@ -11,7 +11,7 @@
 
 /// A server as its entry describes it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Host {
+pub struct ServerEntry {
     /// The server's name, which is the same for every agent.
     pub name: String,
     /// Address that this agent connects to; it may be missing unless the server is up.
@@ -89,7 +89,7 @@
     }
 }
 
-/// An entry whose values all have the expected types. Any other is read value by value by [`host_from_values`], which
+/// An entry whose values all have the expected types. Any other is read value by value by [`server_entry_from_values`], which
 /// replaces invalid optional values by their defaults and names the required value that is invalid.
 #[derive(Deserialize)]
 struct ValidEntry<'a> {
@@ -108,10 +108,10 @@
 }
 
 impl ValidEntry<'_> {
-    fn into_host(self) -> Option<Host> {
+    fn into_server_entry(self) -> Option<ServerEntry> {
         let health = Health::parse(&self.health)?;
         let is_valid = !self.host.is_empty() && (self.dial.is_some() || health != Health::Up);
-        is_valid.then(|| Host {
+        is_valid.then(|| ServerEntry {
             name: self.host.into_owned(),
             dial: self.dial,
             zone: self.site.into_owned(),
@@ -130,8 +130,9 @@
 ///
 /// If the text is not JSON, the name is missing, the health is missing or unknown, or the server is up and has no valid
 /// address.
-pub fn read_entry(index: usize, text: &str) -> Result<Host, InvalidEntry> {
-    if let Some(host) = serde_json::from_str::<ValidEntry>(text).ok().and_then(ValidEntry::into_host) {
+pub fn read_entry(index: usize, text: &str) -> Result<ServerEntry, InvalidEntry> {
+    if let Some(host) = serde_json::from_str::<ValidEntry>(text).ok().and_then(ValidEntry::into_server_entry)
+    {
         return Ok(host);
     }
     let entry: Value = serde_json::from_str(text).map_err(|error| InvalidEntry {
@@ -139,13 +140,13 @@
         name: None,
         source: EntryError::Json(error),
     })?;
-    host_from_values(&entry).map_err(|source| {
+    server_entry_from_values(&entry).map_err(|source| {
         let name = entry.get("host").and_then(Value::as_str).filter(|name| !name.is_empty());
         InvalidEntry { index, name: name.map(str::to_owned), source }
     })
 }
 
-fn host_from_values(entry: &Value) -> Result<Host, EntryError> {
+fn server_entry_from_values(entry: &Value) -> Result<ServerEntry, EntryError> {
     let text = |key: &str| entry.get(key).and_then(Value::as_str);
     let number = |key: &str| entry.get(key).and_then(Value::as_f64);
     let invalid = |key, expected| EntryError::invalid_value(entry, key, expected);
@@ -157,7 +158,7 @@
         return Err(invalid("dial", "an address"));
     }
     let cell = entry.get("block").and_then(Value::as_u64).and_then(|cell| u32::try_from(cell).ok());
-    Ok(Host {
+    Ok(ServerEntry {
         name: name.to_owned(),
         dial,
         zone: text("site").unwrap_or_default().to_owned(),
--- a/agent/src/endpoint_list/reader.rs
+++ b/agent/src/endpoint_list/reader.rs
@@ -1,6 +1,6 @@
 //! An incremental parser for the endpoint lists that discovery sends.
 
-use super::entry::{read_entry, Host, InvalidEntry};
+use super::entry::{read_entry, InvalidEntry, ServerEntry};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::{Deserializer, Value};
@@ -196,7 +196,7 @@
     pub fn read(
         &mut self,
         max: usize,
-        entries: &mut Vec<Result<Host, InvalidEntry>>,
+        entries: &mut Vec<Result<ServerEntry, InvalidEntry>>,
     ) -> Result<bool, ListError> {
         let until = self.entries + max;
         while let Some(next) = self.peek_byte() {
@@ -285,7 +285,7 @@
 
     fn read_next_entry(
         &mut self,
-        entries: &mut Vec<Result<Host, InvalidEntry>>,
+        entries: &mut Vec<Result<ServerEntry, InvalidEntry>>,
     ) -> Result<Progress, ListError> {
         let index = self.entries;
         if index >= self.max_entries {
--- a/agent/src/endpoint_list/tests.rs
+++ b/agent/src/endpoint_list/tests.rs
@@ -73,7 +73,7 @@
             }
             let Envelope { seq, is_complete } = reader.end().expect("a list");
             assert_eq!((seq, is_complete), (12345, true));
-            let hosts: Vec<Host> = entries.into_iter().filter_map(Result::ok).collect();
+            let hosts: Vec<ServerEntry> = entries.into_iter().filter_map(Result::ok).collect();
             assert_eq!(
                 hosts, expected.hosts,
                 "chunks of {chunk_bytes} bytes, steps of {max_step_entries} entries"
--- a/agent/src/upstream/client.rs
+++ b/agent/src/upstream/client.rs
@@ -1,6 +1,6 @@
 //! The client of all servers: attempts and health checks over pooled connections.
 
-use crate::endpoint_list::Host;
+use crate::endpoint_list::ServerEntry;
 use crate::metrics::Metrics;
 use crate::traffic::attempt_body::AttemptBody;
 use crate::traffic::memory_budget::MemoryBudget;
@@ -44,7 +44,7 @@
     }
 
     /// Applies an entry of the endpoint list.
-    pub fn update_endpoint(&self, server: ServerId, host: &Host) {
+    pub fn update_endpoint(&self, server: ServerId, host: &ServerEntry) {
         self.pool.update_endpoint(server, host);
     }
 
--- a/agent/src/upstream/discovery/call.rs
+++ b/agent/src/upstream/discovery/call.rs
@@ -1,6 +1,6 @@
 //! One call to discovery: its connection, its request, and the response, which is read as it comes.
 
-use crate::endpoint_list::{Envelope, Host, InvalidEntry, ListError, Reader};
+use crate::endpoint_list::{Envelope, InvalidEntry, ListError, Reader, ServerEntry};
 use crate::traffic::socket::Socket;
 use crate::upstream::discovery::errors::CallError;
 use bytes::Bytes;
@@ -35,7 +35,7 @@
     /// A call has been made; what an earlier response began is void.
     CallStarted,
     /// Entries of a response that is still coming, [`MAX_ENTRIES_PER_STEP`] at most.
-    Entries(Vec<Result<Host, InvalidEntry>>),
+    Entries(Vec<Result<ServerEntry, InvalidEntry>>),
     /// The response is complete.
     Complete(Envelope),
     /// There was more to apply than fits beside requests: time for the next step of it.
--- a/agent/src/upstream/pool.rs
+++ b/agent/src/upstream/pool.rs
@@ -3,7 +3,7 @@
 //! A connection carries one exchange at a time and is used again only after a complete response. Whatever else ends an
 //! exchange (a timeout, a cancellation, an error) ends its connection with it.
 
-use crate::endpoint_list::{Health, Host};
+use crate::endpoint_list::{Health, ServerEntry};
 use crate::upstream::connection::HttpConnection;
 use crate::upstream::errors::ConnectionError;
 use balancer::ServerId;
@@ -97,7 +97,7 @@
 
     /// Applies an entry of the endpoint list. A new address or a new process means new connections; a server that drains
     /// or is removed keeps no idle ones.
-    pub fn update_endpoint(&self, server: ServerId, host: &Host) {
+    pub fn update_endpoint(&self, server: ServerId, host: &ServerEntry) {
         let mut servers = self.servers.borrow_mut();
         let known = servers.entry(server).or_insert_with(|| Server {
             address: host.dial,
