--- a/agent/src/upstream/pool.rs
+++ b/agent/src/upstream/pool.rs
@@ -3,7 +3,7 @@
 //! A connection carries one exchange at a time and is reused only after a complete response. An exchange that ends in
 //! any other way (a timeout, a cancellation, an error) closes its connection.
 
-use crate::endpoint_list::{Health, Host};
+use crate::endpoint_list::{Health, ServerEntry};
 use crate::upstream::connection::HttpConnection;
 use crate::upstream::errors::ConnectionError;
 use balancer::ServerId;
@@ -49,7 +49,7 @@
 }
 
 /// A server as the endpoint list last described it, and its idle connections, the least recently used first.
-struct ServerEntry {
+struct PooledServer {
     address: Option<SocketAddr>,
     born_ms: f64,
     /// Incremented when the server has a new process or address; connections of an earlier incarnation are not reused.
@@ -67,7 +67,7 @@
 
 /// The known servers and the connections to them.
 pub struct ConnectionPool {
-    servers: RefCell<HashMap<ServerId, ServerEntry>>,
+    servers: RefCell<HashMap<ServerId, PooledServer>>,
     /// All servers with idle connections, and possibly some that no longer have any. Saves eviction from iterating over
     /// all servers.
     servers_with_idle: RefCell<HashSet<ServerId>>,
@@ -98,25 +98,25 @@
 
     /// Adds or updates a server from its entry in the endpoint list. The idle connections are closed if the server has
     /// a new address or process, or is draining or removed.
-    pub fn update_endpoint(&self, server: ServerId, host: &Host) {
+    pub fn update_endpoint(&self, server: ServerId, host: &ServerEntry) {
         let mut servers = self.servers.borrow_mut();
-        let server_entry = servers.entry(server).or_insert_with(|| ServerEntry {
+        let pooled_server = servers.entry(server).or_insert_with(|| PooledServer {
             address: host.dial,
             born_ms: host.born_ms,
             incarnation: 0,
             is_up: true,
             idle: Vec::new(),
         });
-        let has_new_address = host.dial.is_some() && host.dial != server_entry.address;
-        if has_new_address || host.born_ms != server_entry.born_ms {
-            server_entry.incarnation += 1;
-            server_entry.idle.clear();
-            server_entry.address = host.dial.or(server_entry.address);
-            server_entry.born_ms = host.born_ms;
+        let has_new_address = host.dial.is_some() && host.dial != pooled_server.address;
+        if has_new_address || host.born_ms != pooled_server.born_ms {
+            pooled_server.incarnation += 1;
+            pooled_server.idle.clear();
+            pooled_server.address = host.dial.or(pooled_server.address);
+            pooled_server.born_ms = host.born_ms;
         }
-        server_entry.is_up = host.health == Health::Up;
-        if !server_entry.is_up {
-            server_entry.idle.clear();
+        pooled_server.is_up = host.health == Health::Up;
+        if !pooled_server.is_up {
+            pooled_server.idle.clear();
         }
     }
 
@@ -127,8 +127,8 @@
 
     /// Closes the idle connections to a server.
     pub fn close_idle(&self, server: ServerId) {
-        if let Some(server_entry) = self.servers.borrow_mut().get_mut(&server) {
-            server_entry.idle.clear();
+        if let Some(pooled_server) = self.servers.borrow_mut().get_mut(&server) {
+            pooled_server.idle.clear();
         }
     }
 
@@ -136,11 +136,11 @@
     pub fn evict_idle(&self) {
         let mut servers = self.servers.borrow_mut();
         self.servers_with_idle.borrow_mut().retain(|server| {
-            let Some(server_entry) = servers.get_mut(server) else { return false };
-            server_entry
+            let Some(pooled_server) = servers.get_mut(server) else { return false };
+            pooled_server
                 .idle
                 .retain(|c| c.idle_since.elapsed() < self.max_idle && !c.http.sender.is_closed());
-            !server_entry.idle.is_empty()
+            !pooled_server.idle.is_empty()
         });
     }
 
@@ -166,8 +166,8 @@
 
     fn take_idle(&self, server: ServerId) -> Option<PooledConnection> {
         let mut servers = self.servers.borrow_mut();
-        let server_entry = servers.get_mut(&server)?;
-        while let Some(connection) = server_entry.idle.pop() {
+        let pooled_server = servers.get_mut(&server)?;
+        while let Some(connection) = pooled_server.idle.pop() {
             let is_ready =
                 connection.idle_since.elapsed() < self.max_idle && connection.http.sender.is_ready();
             // The server may have closed the connection or sent data that the connection's task has not read yet.
@@ -180,8 +180,12 @@
 
     fn connect_target(&self, server: ServerId) -> Option<ConnectTarget> {
         let servers = self.servers.borrow();
-        let server_entry = servers.get(&server)?;
-        Some(ConnectTarget { server, address: server_entry.address?, incarnation: server_entry.incarnation })
+        let pooled_server = servers.get(&server)?;
+        Some(ConnectTarget {
+            server,
+            address: pooled_server.address?,
+            incarnation: pooled_server.incarnation,
+        })
     }
 
     async fn open(
@@ -219,7 +223,7 @@
         let servers = self.servers.borrow();
         servers
             .get(&connection.server)
-            .is_some_and(|server_entry| server_entry.incarnation == connection.incarnation)
+            .is_some_and(|pooled_server| pooled_server.incarnation == connection.incarnation)
     }
 
     /// Returns a connection to the pool for another exchange, or closes it if the server is not up, or if it is closed
@@ -227,11 +231,11 @@
     pub fn check_in(&self, mut connection: PooledConnection) {
         let is_current = self.is_current(&connection);
         let mut servers = self.servers.borrow_mut();
-        let Some(server_entry) = servers.get_mut(&connection.server) else { return };
-        if server_entry.is_up && is_current && !connection.http.sender.is_closed() {
+        let Some(pooled_server) = servers.get_mut(&connection.server) else { return };
+        if pooled_server.is_up && is_current && !connection.http.sender.is_closed() {
             connection.idle_since = Instant::now();
             self.servers_with_idle.borrow_mut().insert(connection.server);
-            server_entry.idle.push(connection);
+            pooled_server.idle.push(connection);
         }
     }
 
