--- a/agent/tests/attempts.rs
+++ b/agent/tests/attempts.rs
@@ -173,7 +173,7 @@
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
     config["settings"]["limits"]["keepaliveMs"] = 1500.into();
-    let agent = Agent::with(config, |_| {}).await;
+    let agent = Agent::start_with(config, |_| {}).await;
     let asked = Instant::now();
     assert_eq!(agent.client().await.ask(&request("GET", "/read", "2000m", "")).await.status(), 200);
     backend.next().await;
@@ -215,18 +215,18 @@
 /// that takes no connection until its backlog has room.
 #[tokio::test]
 async fn nothing_goes_out_for_a_client_that_left_while_connecting() {
-    let choked = Choked::start().await;
+    let full_backlog = FullBacklog::start().await;
     let directory = Directory::start(Mood::Mute).await;
-    let mut config = config(directory.address, &[host("s", choked.address, "up")]);
+    let mut config = config(directory.address, &[host("s", full_backlog.address, "up")]);
     config["settings"]["limits"]["connectTimeoutMs"] = 10_000.into();
-    let agent = Agent::with(config, |_| {}).await;
+    let agent = Agent::start_with(config, |_| {}).await;
     let mut client = agent.client().await;
     client.send(&request("POST", "/pay", "60000m", "b")).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     drop(client);
     tokio::time::sleep(Duration::from_millis(100)).await;
     // The connect comes up and waits unused.
-    let mut stream = choked.next().await;
+    let mut stream = full_backlog.accept_pending().await;
     // It serves the next request, so the first one's bytes would have come before these.
     let mut client = agent.client().await;
     client.send(&request("GET", "/read/next", "60000m", "")).await;
@@ -241,7 +241,7 @@
     config["settings"]["limits"]["connectTimeoutMs"] = 10_000.into();
     config["operator"] = "127.0.0.1:0".into();
     adapt(&mut config["settings"]);
-    let agent = Agent::with(config, |_| {}).await;
+    let agent = Agent::start_with(config, |_| {}).await;
     directory.next_call().await;
     (directory, agent)
 }
@@ -258,13 +258,14 @@
 /// leaves: then nothing begins there, however well the connection came up.
 #[tokio::test]
 async fn nothing_begins_at_a_server_that_drains_by_the_time_its_connection_is_up() {
-    let (choked, other) = (Choked::start().await, Backend::start(|_| Reply::Bytes(ok("other"))).await);
-    let (mut directory, agent) = watching(host("s", choked.address, "up"), |_| {}).await;
+    let (full_backlog, other) =
+        (FullBacklog::start().await, Backend::start(|_| Reply::Bytes(ok("other"))).await);
+    let (mut directory, agent) = watching(host("s", full_backlog.address, "up"), |_| {}).await;
     let mut client = connecting(&agent, "/pay").await;
-    directory.list(2, &[host("s", choked.address, "draining"), host("other", other.address, "up")]);
+    directory.list(2, &[host("s", full_backlog.address, "draining"), host("other", other.address, "up")]);
     // The next call says that the list has been taken in.
     directory.next_call().await;
-    let mut stream = choked.next().await;
+    let mut stream = full_backlog.accept_pending().await;
     assert_eq!(client.answer().await.body, b"other");
     assert!(soon("the end", read_message(&mut stream, 0)).await.is_none(), "sent to one that drains");
 }
@@ -273,12 +274,12 @@
 /// sent there would meet whoever has that address by then.
 #[tokio::test]
 async fn nothing_begins_at_an_address_that_its_server_has_left() {
-    let (choked, new) = (Choked::start().await, Backend::start(|_| Reply::Bytes(ok("new"))).await);
-    let (mut directory, agent) = watching(host("s", choked.address, "up"), |_| {}).await;
+    let (full_backlog, new) = (FullBacklog::start().await, Backend::start(|_| Reply::Bytes(ok("new"))).await);
+    let (mut directory, agent) = watching(host("s", full_backlog.address, "up"), |_| {}).await;
     let mut client = connecting(&agent, "/pay").await;
     directory.list(2, &[host("s", new.address, "up")]);
     directory.next_call().await;
-    let mut stream = choked.next().await;
+    let mut stream = full_backlog.accept_pending().await;
     assert_eq!(client.answer().await.body, b"new");
     assert!(soon("the end", read_message(&mut stream, 0)).await.is_none(), "sent to the address of before");
 }
@@ -288,14 +289,14 @@
 #[tokio::test]
 async fn an_attempt_tells_what_is_left_when_it_is_written() {
     const WAIT: Duration = Duration::from_millis(60_000);
-    let choked = Choked::start().await;
-    let (_directory, agent) = watching(host("s", choked.address, "up"), |_| {}).await;
+    let full_backlog = FullBacklog::start().await;
+    let (_directory, agent) = watching(host("s", full_backlog.address, "up"), |_| {}).await;
     let _client = connecting(&agent, "/pay").await;
     let waits = Instant::now();
     // Time has to go by for it to be told less.
     tokio::time::sleep(Duration::from_millis(300)).await;
     let gone = waits.elapsed();
-    let mut stream = choked.next().await;
+    let mut stream = full_backlog.accept_pending().await;
     let message = soon("the attempt", read_message(&mut stream, 0)).await.expect("a request");
     let told = message.header("x-timeout").and_then(|told| told.strip_suffix('u')?.parse().ok());
     let told = Duration::from_micros(told.expect("a wait"));
@@ -311,7 +312,7 @@
     let word = Arc::new(Notify::new());
     let gate = word.clone();
     let mut first = Backend::start(move |_| Reply::When(gate.clone(), b"\0\r\n\r\n".to_vec())).await;
-    let choked = Choked::start().await;
+    let full_backlog = FullBacklog::start().await;
     let (mut directory, agent) = watching(host("first", first.address, "up"), |settings| {
         settings["classes"][1]["dedupWindowMs"] = (WINDOW.as_millis() as u64).into();
     })
@@ -319,12 +320,13 @@
     let mut client = connecting(&agent, "/save").await;
     let sent = Instant::now();
     first.next().await;
-    directory.list(2, &[host("first", first.address, "draining"), host("second", choked.address, "up")]);
+    directory
+        .list(2, &[host("first", first.address, "draining"), host("second", full_backlog.address, "up")]);
     directory.next_call().await;
     word.notify_one();
     // The window is a time of the settings, and it has to go by.
     tokio::time::sleep((WINDOW * 2).saturating_sub(sent.elapsed())).await;
-    let mut stream = choked.next().await;
+    let mut stream = full_backlog.accept_pending().await;
     assert_eq!(client.answer().await.status(), 429, "a keyed request whose group is all may be tried again");
     // The connection serves the next request, so the repeat's bytes would have come before these.
     let mut client = agent.client().await;
--- a/agent/tests/bulk.rs
+++ b/agent/tests/bulk.rs
@@ -96,7 +96,7 @@
     let mut config = config(directory.address, &[host("s", address, "up")]);
     config["operator"] = "127.0.0.1:0".into();
     config["limits"]["memory_mb"] = 32.into();
-    (Agent::with(config, |_| {}).await, directory)
+    (Agent::start_with(config, |_| {}).await, directory)
 }
 
 /// The most memory that the agent has held, in kB.
@@ -446,17 +446,17 @@
 async fn a_body_that_nobody_has_asked_for_is_not_late() {
     /// Past the time that a body has before its rate counts.
     const PAST_PATIENCE: Duration = Duration::from_millis(3200);
-    let choked = Choked::start().await;
+    let full_backlog = FullBacklog::start().await;
     let directory = Directory::start(Mood::Mute).await;
-    let mut config = config(directory.address, &[host("s", choked.address, "up")]);
+    let mut config = config(directory.address, &[host("s", full_backlog.address, "up")]);
     config["settings"]["limits"]["connectTimeoutMs"] = 20_000.into();
-    let agent = Agent::with(config, |_| {}).await;
+    let agent = Agent::start_with(config, |_| {}).await;
     let sent = body(300_000);
     let mut client = agent.client().await;
     let framing = format!("Content-Length: {}\r\nExpect: 100-continue", sent.len());
     client.send(&post("/pay", "60000m", &framing)).await;
     tokio::time::sleep(PAST_PATIENCE).await;
-    let mut renderer = choked.next().await;
+    let mut renderer = full_backlog.accept_pending().await;
     let mut told = [0; 25];
     soon("the word to send", client.stream.read_exact(&mut told)).await.expect("bytes");
     assert_eq!(&told, b"HTTP/1.1 100 Continue\r\n\r\n");
--- a/agent/tests/clock_steps.rs
+++ b/agent/tests/clock_steps.rs
@@ -22,7 +22,7 @@
 
     /// One more process of the agent, which meets these faults.
     async fn process(&self, config: &Value, schedule: &str) -> Agent {
-        Agent::with(config.clone(), |command| {
+        Agent::start_with(config.clone(), |command| {
             command.env("TMPDIR", &self.0);
             faults::meet(command, schedule);
         })
@@ -38,7 +38,7 @@
 
 /// How warm the agent takes its one renderer for.
 async fn warmth(agent: &Agent) -> f64 {
-    agent.figures("renderers").await["renderers"][0]["warmth"].as_f64().expect("a number")
+    agent.admin_json("renderers").await["renderers"][0]["warmth"].as_f64().expect("a number")
 }
 
 async fn wait_until_warmth(agent: &Agent, what: &str, holds: impl Fn(f64) -> bool) -> f64 {
@@ -66,8 +66,8 @@
         let mut config = config(directory.address, std::slice::from_ref(&before));
         config["operator"] = "127.0.0.1:0".into();
         config["settings"]["rules"]["warmAfterMs"] = 600_000.into();
-        let mut agent = Agent::with(config, |command| faults::meet(command, schedule)).await;
-        agent.says("the wall clock was stepped").await;
+        let mut agent = Agent::start_with(config, |command| faults::meet(command, schedule)).await;
+        agent.wait_for_log("the wall clock was stepped").await;
         assert_eq!(warmth(&agent).await, 1.0, "what is known keeps its start");
         let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis() as i64;
         let mut restarted = before.clone();
@@ -89,8 +89,8 @@
     config["settings"]["rules"]["warmAfterMs"] = 600_000.into();
     let old = folder.process(&config, "").await;
     let new = folder.process(&config, "clock -3600s").await;
-    assert_eq!(old.call("cordon s").await, "done\n");
-    assert_eq!(old.call("uncordon s").await, "done\n");
+    assert_eq!(old.admin_call("cordon s").await, "done\n");
+    assert_eq!(old.admin_call("uncordon s").await, "done\n");
     for agent in [&old, &new] {
         let cold = wait_until_warmth(agent, "a cold renderer", |warmth| warmth < 1.0).await;
         wait_until_warmth(agent, "a renderer that warms up", |warmth| warmth > cold).await;
@@ -115,6 +115,6 @@
     .await;
     for schedule in ["clock +3600s", "clock -3600s"] {
         let mut new = folder.process(&config, schedule).await;
-        new.says("starts with the snapshot of 1 endpoints").await;
+        new.wait_for_log("starts with the snapshot of 1 endpoints").await;
     }
 }
--- a/agent/tests/closings.rs
+++ b/agent/tests/closings.rs
@@ -18,7 +18,7 @@
 async fn told_to_end(agent: &Agent) -> Client {
     let mut rests = agent.client().await;
     assert_eq!(rests.ask(&request("GET", "/read/rests", "2000m", "")).await.status(), 200);
-    agent.term().await;
+    agent.send_sigterm().await;
     rests.closed().await;
     rests
 }
@@ -48,7 +48,7 @@
     // A request over a connection that the agent has ended is its client's to send again, and goes nowhere.
     let _ = rests.stream.write_all(request("POST", "/pay/unheard", "2000m", "").as_bytes()).await;
     drop(rests);
-    assert!(agent.end().await.success());
+    assert!(agent.wait_for_exit().await.success());
     while let Ok(message) = backend.seen.try_recv() {
         assert!(!message.head.contains("unheard"), "sent on after the close");
     }
@@ -75,7 +75,7 @@
     // By the settings it may be killed after 3.2 s; half of the way to the early one's deadline is bound enough.
     let between = Duration::from_millis(4600);
     assert!(told.elapsed() < between, "{:?}", told.elapsed());
-    assert!(agent.end().await.success());
+    assert!(agent.wait_for_exit().await.success());
 }
 
 /// Connections that wait in the system's queue, as all places are taken, are the agent's: at a planned end they are served
@@ -90,7 +90,7 @@
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
     config["limits"]["sockets"] = 80.into();
-    let mut agent = Agent::with(config, |_| {}).await;
+    let mut agent = Agent::start_with(config, |_| {}).await;
     // More than it has places for; those that it takes wait at the backend or for their turn there.
     let mut slow = Vec::new();
     for _ in 0..60 {
@@ -101,11 +101,11 @@
     backend.next().await;
     let mut queued = agent.client().await;
     queued.send(&request("GET", "/read/queued", "20000m", "")).await;
-    agent.term().await;
+    agent.send_sigterm().await;
     let answer = queued.answer().await;
     assert!([200, 429].contains(&answer.status()), "{}", answer.first_line());
     drop(slow);
-    assert!(agent.end().await.success());
+    assert!(agent.wait_for_exit().await.success());
 }
 
 /// An answer counts as given with its last byte. The process stays until a long one is out, however long its head has
@@ -132,7 +132,7 @@
     client.send(&request("GET", "/read", "2000m", "")).await;
     let mut first = [0; 1];
     soon("the answer's first byte", client.stream.read_exact(&mut first)).await.expect("a byte");
-    agent.term().await;
+    agent.send_sigterm().await;
     // Past this point it takes no connections any more and has nothing to wait for but this answer.
     soon("the listener's end", async {
         while tokio::net::TcpStream::connect(agent.address).await.is_ok() {
@@ -145,7 +145,7 @@
     let mut rest = Vec::new();
     soon("the rest", client.stream.read_to_end(&mut rest)).await.expect("no reset");
     assert!(rest.len() >= 2 * HALF && rest.ends_with(&[b'b'; HALF]), "{} bytes", rest.len());
-    assert!(agent.end().await.success());
+    assert!(agent.wait_for_exit().await.success());
 }
 
 /// Bytes that come after the last request do not take its answer along: closed at once, the connection would be reset,
@@ -171,12 +171,12 @@
 /// request goes out any more.
 #[tokio::test]
 async fn a_client_that_leaves_behind_unread_bytes_is_not_sent_on() {
-    let choked = Choked::start().await;
+    let full_backlog = FullBacklog::start().await;
     let directory = Directory::start(Mood::Mute).await;
-    let mut config = config(directory.address, &[host("s", choked.address, "up")]);
+    let mut config = config(directory.address, &[host("s", full_backlog.address, "up")]);
     config["settings"]["limits"]["connectTimeoutMs"] = 10_000.into();
     config["operator"] = "127.0.0.1:0".into();
-    let agent = Agent::with(config, |_| {}).await;
+    let agent = Agent::start_with(config, |_| {}).await;
     let mut client = agent.client().await;
     let left = request("POST", "/pay/left", "60000m", "b");
     client.send(&left).await;
@@ -184,7 +184,7 @@
     soon("the request", async { while agent.counters().await["current"] != 1 {} }).await;
     drop(client);
     soon("the client's leaving", async { while agent.counters().await["current"] != 0 {} }).await;
-    let mut stream = choked.next().await;
+    let mut stream = full_backlog.accept_pending().await;
     // The connection serves the next request, so the first one's bytes would have come before these.
     let mut client = agent.client().await;
     client.send(&request("GET", "/read/next", "60000m", "")).await;
--- a/agent/tests/common/mod.rs
+++ b/agent/tests/common/mod.rs
@@ -18,7 +18,7 @@
 pub struct Agent {
     pub address: SocketAddr,
     /// Its second address, if it was given one.
-    pub operator: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     pub child: Child,
     log: mpsc::UnboundedReceiver<String>,
     file: PathBuf,
@@ -52,13 +52,13 @@
 }
 
 /// A listener to which a connect stays under way until the test takes it: its backlog is full.
-pub struct Choked {
+pub struct FullBacklog {
     pub address: SocketAddr,
     listener: TcpListener,
     fillers: Vec<TcpStream>,
 }
 
-impl Choked {
+impl FullBacklog {
     pub async fn start() -> Self {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -69,11 +69,11 @@
         for _ in 0..2 {
             fillers.push(TcpStream::connect(address).await.expect("a place in the backlog"));
         }
-        Choked { address, listener, fillers }
+        FullBacklog { address, listener, fillers }
     }
 
     /// Makes room; the connect that waits comes up, as the kernel tries again within some seconds.
-    pub async fn next(&self) -> TcpStream {
+    pub async fn accept_pending(&self) -> TcpStream {
         for _ in &self.fillers {
             soon("a filler", self.listener.accept()).await.expect("a filler");
         }
@@ -83,23 +83,23 @@
 
 impl Agent {
     pub async fn start(directory: SocketAddr, hosts: &[Value]) -> Self {
-        Self::with(config(directory, hosts), |_| {}).await
+        Self::start_with(config(directory, hosts), |_| {}).await
     }
 
-    pub async fn with(config: Value, adapt: impl FnOnce(&mut Command)) -> Self {
+    pub async fn start_with(config: Value, adapt: impl FnOnce(&mut Command)) -> Self {
         let file = write_config(&config.to_string());
-        let operated = config["operator"].is_string();
+        let admin_enabled = config["operator"].is_string();
         let mut command = command(&file);
         adapt(&mut command);
         let mut child = command.spawn().expect("the program starts");
         let mut log = BufReader::new(child.stderr.take().expect("its log")).lines();
         // The agent binds what is free and says so: a port that a test had found free would be another's by then.
-        let (mut address, mut operator) = (None, None);
+        let (mut address, mut admin_address) = (None, None);
         let (tell, told) = mpsc::unbounded_channel();
-        while address.is_none() || (operated && operator.is_none()) {
+        while address.is_none() || (admin_enabled && admin_address.is_none()) {
             let line = soon("the agent's start", log.next_line()).await.expect("a log").expect("a line");
             let bound = |what: &str| line.split_once(what).map(|(_, at)| at.parse().expect("an address"));
-            operator = operator.or(bound("answers on "));
+            admin_address = admin_address.or(bound("answers on "));
             address = address.or(bound("listening on "));
             let _ = tell.send(line);
         }
@@ -110,7 +110,7 @@
                 let _ = tell.send(line);
             }
         });
-        Agent { address, operator, child, log: told, file }
+        Agent { address, admin_address, child, log: told, file }
     }
 
     pub async fn client(&self) -> Client {
@@ -122,13 +122,13 @@
     }
 
     /// A connection to the second address.
-    pub async fn operator(&self) -> TcpStream {
-        TcpStream::connect(self.operator.expect("a second address")).await.expect("a connection")
+    pub async fn connect_admin(&self) -> TcpStream {
+        TcpStream::connect(self.admin_address.expect("a second address")).await.expect("a connection")
     }
 
     /// What the agent says to this call at its second address.
-    pub async fn call(&self, call: &str) -> String {
-        let mut stream = self.operator().await;
+    pub async fn admin_call(&self, call: &str) -> String {
+        let mut stream = self.connect_admin().await;
         stream.write_all(format!("{call}\n").as_bytes()).await.expect("the agent reads");
         let mut answer = String::new();
         soon("an answer", stream.read_to_string(&mut answer)).await.expect("text");
@@ -136,17 +136,17 @@
     }
 
     pub async fn counters(&self) -> Value {
-        self.figures("counters").await
+        self.admin_json("counters").await
     }
 
-    pub async fn figures(&self, call: &str) -> Value {
-        let answer = self.call(call).await;
+    pub async fn admin_json(&self, call: &str) -> Value {
+        let answer = self.admin_call(call).await;
         let (figures, end) = answer.split_once('\n').expect("lines");
         assert_eq!(end, "end\n");
         serde_json::from_str(figures).expect("figures")
     }
 
-    pub async fn ready(&self) {
+    pub async fn wait_until_ready(&self) {
         soon("readiness", async {
             while self.client().await.ask("GET /ready HTTP/1.1\r\n\r\n").await.status() != 200 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
@@ -156,7 +156,7 @@
     }
 
     /// The next line of the log with this in it.
-    pub async fn says(&mut self, what: &str) -> String {
+    pub async fn wait_for_log(&mut self, what: &str) -> String {
         soon(what, async {
             loop {
                 let line = self.log.recv().await.expect("the agent runs");
@@ -168,18 +168,18 @@
         .await
     }
 
-    pub async fn hang_up(&self) {
+    pub async fn send_sighup(&self) {
         self.signal("-HUP").await;
     }
 
-    pub async fn term(&self) {
+    pub async fn send_sigterm(&self) {
         self.signal("-TERM").await;
     }
 
     /// Replaces the configuration by this text and says so.
     pub async fn reconfigure(&self, text: &str) {
         std::fs::write(&self.file, text).expect("a file");
-        self.hang_up().await;
+        self.send_sighup().await;
     }
 
     pub async fn signal(&self, signal: &str) {
@@ -188,7 +188,7 @@
         assert!(sent.success());
     }
 
-    pub async fn end(&mut self) -> ExitStatus {
+    pub async fn wait_for_exit(&mut self) -> ExitStatus {
         soon("the agent's end", self.child.wait()).await.expect("a status")
     }
 }
--- a/agent/tests/common/hold_ups.rs
+++ b/agent/tests/common/timer_lag.rs
@@ -5,12 +5,12 @@
 use tokio::task::JoinHandle;
 
 /// The longest time by which a short sleep was late.
-pub struct HoldUps {
+pub struct TimerLag {
     watch: JoinHandle<()>,
     longest: Arc<Mutex<Duration>>,
 }
 
-impl HoldUps {
+impl TimerLag {
     /// Watches from now on.
     pub fn watch() -> Self {
         const TICK: Duration = Duration::from_millis(5);
@@ -25,7 +25,7 @@
                 *longest = late.max(*longest);
             }
         });
-        HoldUps { watch, longest }
+        TimerLag { watch, longest }
     }
 
     /// The longest one since then.
--- a/agent/tests/control.rs
+++ b/agent/tests/control.rs
@@ -24,16 +24,16 @@
         let mut config = config(directory.address, &hosts);
         config["operator"] = "127.0.0.1:0".into();
         config["name"] = format!("n{n}").into();
-        agents.push(Agent::with(config, |_| {}).await);
+        agents.push(Agent::start_with(config, |_| {}).await);
     }
     for agent in &agents {
-        agent.ready().await;
+        agent.wait_until_ready().await;
         for _ in 0..4 {
             assert_eq!(agent.get("/read").await.status(), 200);
         }
     }
     let at: Vec<String> =
-        agents.iter().map(|agent| agent.operator.expect("an address").to_string()).collect();
+        agents.iter().map(|agent| agent.admin_address.expect("an address").to_string()).collect();
     let whom: Vec<&str> = at.iter().flat_map(|at| ["--agent", at.as_str()]).collect();
     let call = |words: &'static [&'static str]| {
         let arguments: Vec<&str> = words.iter().copied().chain(whom.clone()).collect();
--- a/agent/tests/durability.rs
+++ b/agent/tests/durability.rs
@@ -23,7 +23,7 @@
     async fn process(&self, directory: &Directory, hosts: &[Value], schedule: &str) -> Agent {
         let mut config = config(directory.address, hosts);
         config["operator"] = "127.0.0.1:0".into();
-        Agent::with(config, |command| {
+        Agent::start_with(config, |command| {
             command.env("TMPDIR", &self.0);
             faults::meet(command, schedule);
         })
@@ -64,7 +64,7 @@
     let hosts = [host("out", backend.address, "up"), host("other", backend.address, "up")];
     let folder = Folder::new("done");
     let agent = folder.process(&directory, &hosts, "").await;
-    assert_eq!(agent.call("cordon out").await, "done\n");
+    assert_eq!(agent.admin_call("cordon out").await, "done\n");
     kill(agent).await;
     let next = folder.process(&directory, &hosts, "").await;
     assert_eq!(unhealthy(&next).await, json!(1));
@@ -83,15 +83,15 @@
         "write ENOSPC path={path} times=3; sync EIO path={path} times=2; rename EIO path={path} times=1"
     );
     let mut agent = folder.process(&directory, &hosts, &schedule).await;
-    let answer = agent.call("cordon out").await;
+    let answer = agent.admin_call("cordon out").await;
     assert!(answer.starts_with("error it holds in this process alone"), "{answer}");
     assert!(answer.contains("written again until it is on disk"), "{answer}");
     assert_eq!(unhealthy(&agent).await, json!(1), "it holds here at once");
-    let line = agent.says("1 operator commands are not on disk").await;
+    let line = agent.wait_for_log("1 operator commands are not on disk").await;
     assert!(line.contains("until they are"), "{line}");
-    agent.says("on disk, after 6 failed writes").await;
-    assert_eq!(agent.figures("renderers").await["unsaved"], 0);
-    assert_eq!(agent.call("cordon out").await, "done\n");
+    agent.wait_for_log("on disk, after 6 failed writes").await;
+    assert_eq!(agent.admin_json("renderers").await["unsaved"], 0);
+    assert_eq!(agent.admin_call("cordon out").await, "done\n");
     kill(agent).await;
     let next = folder.process(&directory, &hosts, "").await;
     assert_eq!(unhealthy(&next).await, json!(1));
@@ -105,12 +105,12 @@
     let folder = Folder::new("full");
     let agent = folder.process(&directory, &hosts, &format!("write ENOSPC path={}", folder.path())).await;
     for _ in 0..3 {
-        assert!(agent.call("cordon out").await.starts_with("error it holds in this process alone"));
+        assert!(agent.admin_call("cordon out").await.starts_with("error it holds in this process alone"));
     }
-    assert!(agent.call("zone leave a").await.starts_with("error it holds in this process alone"));
-    assert_eq!(agent.figures("renderers").await["unsaved"], 2);
-    assert_eq!(agent.figures("zones").await["unsaved"], 2);
-    assert!(agent.call("cordon nobody").await.starts_with("error no renderer"));
+    assert!(agent.admin_call("zone leave a").await.starts_with("error it holds in this process alone"));
+    assert_eq!(agent.admin_json("renderers").await["unsaved"], 2);
+    assert_eq!(agent.admin_json("zones").await["unsaved"], 2);
+    assert!(agent.admin_call("cordon nobody").await.starts_with("error no renderer"));
     let left = std::fs::read_dir(&folder.0).expect("a folder").flatten().map(|entry| entry.path());
     let whole = left.filter(|path| path.extension().is_some_and(|end| end == "json")).count();
     assert_eq!(whole, 0, "nothing half done passes for a whole file");
@@ -124,14 +124,14 @@
     let hosts = [host("out", backend.address, "up"), host("other", backend.address, "up")];
     let folder = Folder::new("hangs");
     let mut agent = folder.process(&directory, &hosts, "").await;
-    assert_eq!(agent.call("cordon out").await, "done\n");
+    assert_eq!(agent.admin_call("cordon out").await, "done\n");
     let words = folder.words().expect("the file of the words");
     let pipe = words.with_extension(format!("{}.new", agent.child.id().expect("it runs")));
     let made = Command::new("mkfifo").arg(&pipe).status().await.expect("mkfifo runs");
     assert!(made.success());
     let answer = {
-        let mut cordon = std::pin::pin!(agent.call("cordon other"));
-        let other_callers = async { while agent.figures("renderers").await["unsaved"] != 1 {} };
+        let mut cordon = std::pin::pin!(agent.admin_call("cordon other"));
+        let other_callers = async { while agent.admin_json("renderers").await["unsaved"] != 1 {} };
         // The one that waits for the disk holds up no other one.
         tokio::select! {
             biased;
@@ -141,16 +141,16 @@
         cordon.await
     };
     assert!(answer.starts_with("error it holds in this process alone"), "{answer}");
-    assert_eq!(agent.call("uncordon out").await.split(' ').next(), Some("error"));
+    assert_eq!(agent.admin_call("uncordon out").await.split(' ').next(), Some("error"));
     assert_eq!(agent.get("/read").await.status(), 200);
-    assert_eq!(agent.figures("renderers").await["unsaved"], 2);
+    assert_eq!(agent.admin_json("renderers").await["unsaved"], 2);
     // The write goes on, and cannot be synced; the next one finds an ordinary file.
     let read = tokio::task::spawn_blocking(move || std::fs::read(pipe));
-    agent.says("on disk, after").await;
+    agent.wait_for_log("on disk, after").await;
     read.await.expect("read").expect("bytes");
     kill(agent).await;
     let next = folder.process(&directory, &hosts, "").await;
-    let told = next.figures("renderers").await;
+    let told = next.admin_json("renderers").await;
     let cordoned = |id: &str| {
         let renderers = told["renderers"].as_array().expect("renderers");
         renderers.iter().any(|renderer| renderer["id"] == id && renderer["cordoned"] == true)
--- a/agent/tests/leaving.rs
+++ b/agent/tests/leaving.rs
@@ -67,7 +67,7 @@
         (class["aimMs"], class["deadlineMs"]) = (aim.into(), 60_000.into());
     }
     config["operator"] = "127.0.0.1:0".into();
-    let agent = Agent::with(config, |_| {}).await;
+    let agent = Agent::start_with(config, |_| {}).await;
     directory.next_call().await;
     (directory, agent)
 }
@@ -79,7 +79,7 @@
 
 /// Waits until the agent has heard that a request's client has left; the log says so, and that nothing else ended it.
 async fn has_left(agent: &mut Agent) {
-    let line = agent.says("id1").await;
+    let line = agent.wait_for_log("id1").await;
     assert!(line.contains("gone"), "{line}");
 }
 
@@ -126,7 +126,7 @@
         directory.next_call().await;
         word.notify_one();
         // A server's counts tell that its answer has come.
-        let rejected = async || agent.figures("renderers").await["renderers"][0]["rejected"] == 1;
+        let rejected = async || agent.admin_json("renderers").await["renderers"][0]["rejected"] == 1;
         soon("the rejection", async { while !rejected().await {} }).await;
         owes(&agent, 1).await;
         let _rest = way.by(client).await;
@@ -181,17 +181,17 @@
 }
 
 async fn left_while_connecting(way: Leave, body: String, length: usize) {
-    let choked = Choked::start().await;
-    let (_directory, mut agent) = patient(&[host("s", choked.address, "up")], LONG_AIM).await;
+    let full_backlog = FullBacklog::start().await;
+    let (_directory, mut agent) = patient(&[host("s", full_backlog.address, "up")], LONG_AIM).await;
     let mut client = agent.client().await;
     let head = request("POST", "/pay/left", WAIT, "");
     client.send(&head.replace("Content-Length: 0", &format!("Content-Length: {length}"))).await;
     client.send(&body).await;
-    let in_flight = async || agent.figures("renderers").await["renderers"][0]["in_flight"] == 1;
+    let in_flight = async || agent.admin_json("renderers").await["renderers"][0]["in_flight"] == 1;
     soon("the attempt", async { while !in_flight().await {} }).await;
     let _rest = way.by(client).await;
     has_left(&mut agent).await;
-    let mut stream = choked.next().await;
+    let mut stream = full_backlog.accept_pending().await;
     // The connection serves the next request, so the first one's bytes would have come before these.
     let mut client = agent.client().await;
     client.send(&request("GET", "/read/next", WAIT, "")).await;
@@ -233,7 +233,7 @@
         let head = request("POST", "/pay/left", WAIT, "").replace("Length: 0", "Length: 10");
         client.send(&(head + "half")).await;
         let _rest = way.by(client).await;
-        agent.says("id1").await;
+        agent.wait_for_log("id1").await;
         ask_next(&agent).await;
         assert_eq!(backend.next().await.first_line(), "GET /read/next HTTP/1.1", "{way:?}");
     }
--- a/agent/tests/lingering.rs
+++ b/agent/tests/lingering.rs
@@ -25,8 +25,8 @@
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
     // 24 of them are the agent's own, and no more than the others can be its clients'.
     config["limits"]["sockets"] = (SOCKETS + 24).into();
-    let agent = Agent::with(config, |_| {}).await;
-    agent.ready().await;
+    let agent = Agent::start_with(config, |_| {}).await;
+    agent.wait_until_ready().await;
     let address = agent.address;
     let begun = Instant::now();
     let peers = (0..AT_ONCE).map(|_| tokio::spawn(linger_often(address, CROWD / AT_ONCE)));
--- a/agent/tests/lists.rs
+++ b/agent/tests/lists.rs
@@ -38,7 +38,7 @@
     let old = Backend::start(|_| Reply::Bytes(ok("old"))).await;
     let new = Backend::start(|_| Reply::Bytes(ok("new"))).await;
     let mut directory = Directory::start(Mood::Mute).await;
-    let agent = Agent::with(pushed(directory.address, &[host("old", old.address, "up")]), |_| {}).await;
+    let agent = Agent::start_with(pushed(directory.address, &[host("old", old.address, "up")]), |_| {}).await;
     directory.next_call().await;
     let hosts: Vec<Value> = (0..PLANNED).map(|n| entry(n, new.address, "up")).collect();
     let text = answer(2, true, &hosts);
@@ -67,7 +67,7 @@
     let hosts: Vec<Value> =
         (0..9).map(|n| entry(n, if n == 0 { stays.address } else { drains.address }, "up")).collect();
     let mut directory = Directory::start(Mood::Mute).await;
-    let mut agent = Agent::with(pushed(directory.address, &hosts), |_| {}).await;
+    let mut agent = Agent::start_with(pushed(directory.address, &hosts), |_| {}).await;
     directory.next_call().await;
     let mut said: Vec<Value> = (1..9).map(|n| entry(n, drains.address, "draining")).collect();
     said.extend((9..400).map(|n| entry(n, added.address, "up")));
@@ -81,7 +81,7 @@
     };
     soon("the drain", drained).await;
     while drains.seen.try_recv().is_ok() {}
-    let line = agent.says("failed after").await;
+    let line = agent.wait_for_log("failed after").await;
     assert!(line.contains("no "), "{line}");
     // A call after that asks for what is newer than what was known before.
     let again = async { while !directory.next_call().await.contains("after=1&") {} };
@@ -104,7 +104,7 @@
     let text = answer(2, true, &said);
     let mut before = Directory::start(half(text.strip_suffix("]}").unwrap_or(&text), 1 << 20)).await;
     let mut after = Directory::start(Mood::List(json!({"seq": 1, "whole": true, "hosts": hosts}))).await;
-    let agent = Agent::with(pushed(before.address, &hosts), |_| {}).await;
+    let agent = Agent::start_with(pushed(before.address, &hosts), |_| {}).await;
     before.next_call().await;
     agent.reconfigure(&pushed(after.address, &[]).to_string()).await;
     assert_eq!(after.next_call().await, "/v1/endpoints");
@@ -128,13 +128,13 @@
     let mut directory = Directory::start(Mood::Endless(head, again)).await;
     let mut config = pushed(directory.address, &[entry(0, known.address, "up")]);
     config["limits"]["memory_mb"] = 16.into();
-    let mut agent = Agent::with(config, |_| {}).await;
+    let mut agent = Agent::start_with(config, |_| {}).await;
     let mut pauses: Vec<Duration> = Vec::new();
     let mut failed: Option<tokio::time::Instant> = None;
     for _ in 0..5 {
         directory.next_call().await;
         pauses.extend(failed.map(|failed| failed.elapsed()));
-        let line = agent.says("failed after").await;
+        let line = agent.wait_for_log("failed after").await;
         assert!(line.contains("4096 at most were expected"), "{line}");
         failed = Some(tokio::time::Instant::now());
     }
@@ -156,14 +156,14 @@
     let known = Backend::start(|_| Reply::Bytes(ok("known"))).await;
     let mut directory = Directory::start(Mood::Mute).await;
     let hosts = [entry(0, known.address, "up")];
-    let mut agent = Agent::with(config(directory.address, &hosts), |_| {}).await;
+    let mut agent = Agent::start_with(config(directory.address, &hosts), |_| {}).await;
     directory.next_call().await;
     let mut said = hosts.to_vec();
     said.extend((1..1000).map(|n| json!({"host": format!("s{n}"), "health": "asleep"})));
     directory.list(2, &said);
     let mut told = 0;
     loop {
-        let line = agent.says("not taken").await;
+        let line = agent.wait_for_log("not taken").await;
         if line.contains("more lines") {
             assert!(line.contains("991 more lines of list 2"), "{line}");
             break;
@@ -189,11 +189,11 @@
     let mut agents = Vec::new();
     for _ in 0..3 {
         let known = [host("old", old.address, "up")];
-        agents.push(Agent::with(pushed(directory.address, &known), |_| {}).await);
+        agents.push(Agent::start_with(pushed(directory.address, &known), |_| {}).await);
     }
     let mut broke_off = Vec::new();
     for agent in &mut agents {
-        broke_off.push(agent.says("failed after").await);
+        broke_off.push(agent.wait_for_log("failed after").await);
         assert_eq!(agent.get("/read").await.body, b"old", "half a list adds nothing");
     }
     assert!(broke_off.iter().all(|line| line.contains("no ")), "{broke_off:?}");
--- a/agent/tests/operator.rs
+++ b/agent/tests/operator.rs
@@ -19,7 +19,7 @@
 async fn operated(hosts: &[Value], directory: &Directory) -> Agent {
     let mut config = config(directory.address, hosts);
     config["operator"] = "127.0.0.1:0".into();
-    Agent::with(config, |_| {}).await
+    Agent::start_with(config, |_| {}).await
 }
 
 #[tokio::test]
@@ -61,10 +61,10 @@
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let agent = operated(&[], &directory).await;
-    assert!(agent.call("health").await.starts_with("error "));
+    assert!(agent.admin_call("health").await.starts_with("error "));
     directory.list(2, &[host("s", backend.address, "up")]);
-    agent.ready().await;
-    assert_eq!(agent.call("health").await, "done\n");
+    agent.wait_until_ready().await;
+    assert_eq!(agent.admin_call("health").await, "done\n");
 }
 
 #[tokio::test]
@@ -73,13 +73,13 @@
     let agent = operated(&[], &directory).await;
     let long = "x".repeat(5000);
     for call in ["", "  ", "heal", "HEALTH", "health now", "counters all", "\u{7}", &long] {
-        let answer = agent.call(call).await;
+        let answer = agent.admin_call(call).await;
         assert!(
             answer.starts_with("error ") && answer.ends_with('\n') && answer.len() < 200,
             "{call}: {answer}"
         );
     }
-    let mut half = agent.operator().await;
+    let mut half = agent.connect_admin().await;
     half.write_all(b"health").await.expect("sent");
     half.shutdown().await.expect("shut");
     let mut answer = String::new();
@@ -96,12 +96,12 @@
     let agent = operated(&[host("s", backend.address, "up")], &directory).await;
     let mut slow: Vec<TcpStream> = Vec::new();
     for _ in 0..100 {
-        let mut stream = agent.operator().await;
+        let mut stream = agent.connect_admin().await;
         stream.write_all(b"coun").await.expect("sent");
         slow.push(stream);
     }
     let asked = Instant::now();
-    assert_eq!(agent.call("health").await, "done\n");
+    assert_eq!(agent.admin_call("health").await, "done\n");
     assert_eq!(agent.counters().await["current"], 0);
     assert!(asked.elapsed() < Duration::from_secs(4), "waited for the slow ones: {:?}", asked.elapsed());
     assert_eq!(agent.get("/read").await.status(), 200);
@@ -127,11 +127,11 @@
     while agent.get("/read").await.body != b"out" {}
     out.next().await;
     for call in ["cordon", "cordon out other", "cordon nobody", "uncordon nobody", "uncordon", "cordon OUT"] {
-        let answer = agent.call(call).await;
+        let answer = agent.admin_call(call).await;
         assert!(answer.starts_with("error "), "{call}: {answer}");
     }
-    assert_eq!(agent.call("cordon out").await, "done\n");
-    assert_eq!(agent.call("cordon out").await, "done\n");
+    assert_eq!(agent.admin_call("cordon out").await, "done\n");
+    assert_eq!(agent.admin_call("cordon out").await, "done\n");
     assert_eq!(agent.counters().await["cluster_unhealthy"], 1);
     while out.seen.try_recv().is_ok() {}
     directory.next_call().await;
@@ -143,7 +143,7 @@
         assert_eq!(agent.get("/read").await.body, b"other");
     }
     assert!(out.seen.try_recv().is_err(), "sent to a cordoned renderer");
-    assert_eq!(agent.call("uncordon out").await, "done\n");
+    assert_eq!(agent.admin_call("uncordon out").await, "done\n");
     soon("the renderer's return", async { while agent.get("/read").await.body != b"out" {} }).await;
 }
 
@@ -162,11 +162,11 @@
         let renderers = told["renderers"].as_array().expect("renderers");
         renderers.iter().find(|renderer| renderer["id"] == id).expect("it is there").clone()
     };
-    while tried(&agent.figures("renderers").await, "bad")["failed"] == 0 {
+    while tried(&agent.admin_json("renderers").await, "bad")["failed"] == 0 {
         agent.get("/read").await;
     }
-    assert_eq!(agent.call("cordon bad").await, "done\n");
-    let told = agent.figures("renderers").await;
+    assert_eq!(agent.admin_call("cordon bad").await, "done\n");
+    let told = agent.admin_json("renderers").await;
     let (bad, good) = (tried(&told, "bad"), tried(&told, "good"));
     assert_eq!((&bad["zone"], &bad["cordoned"], &bad["serving"]), (&json!("b"), &json!(true), &json!(true)));
     assert_eq!(
@@ -180,7 +180,7 @@
     directory.list(2, &hosts[..1]);
     directory.next_call().await;
     soon("the list", async { while agent.counters().await["cluster_size"] != 1 {} }).await;
-    let zones = agent.figures("zones").await;
+    let zones = agent.admin_json("zones").await;
     let zone =
         |name: &str| zones["zones"].as_array().expect("zones").iter().find(|z| z["zone"] == name).cloned();
     let (near, far) = (zone("a").expect("a zone"), zone("b").expect("a zone"));
@@ -200,15 +200,15 @@
     let agent = operated(&[host("near", near.address, "up"), away], &directory).await;
     soon("both", async { while agent.get("/read").await.body != b"far" {} }).await;
     for call in ["zone", "zone leave", "zone leave c", "zone b", "zone go b", "zone leave a b"] {
-        assert!(agent.call(call).await.starts_with("error "), "{call}");
+        assert!(agent.admin_call(call).await.starts_with("error "), "{call}");
     }
-    assert_eq!(agent.call("zone leave b").await, "done\n");
+    assert_eq!(agent.admin_call("zone leave b").await, "done\n");
     for _ in 0..30 {
         assert_eq!(agent.get("/read").await.body, b"near");
     }
-    let zones = agent.figures("zones").await;
+    let zones = agent.admin_json("zones").await;
     assert_eq!((&zones["zones"][0]["left"], &zones["zones"][1]["left"]), (&json!(false), &json!(true)));
-    assert_eq!(agent.call("zone return b").await, "done\n");
+    assert_eq!(agent.admin_call("zone return b").await, "done\n");
     soon("the return", async { while agent.get("/read").await.body != b"far" {} }).await;
 }
 
@@ -232,11 +232,11 @@
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let agent = operated(&[host("s", backend.address, "up")], &directory).await;
-    agent.ready().await;
+    agent.wait_until_ready().await;
     signal(&agent, "-STOP").await;
     let mut callers = Vec::new();
     for n in 0..QUEUED {
-        let mut stream = agent.operator().await;
+        let mut stream = agent.connect_admin().await;
         let call: &[u8] = if n % 2 == 0 { b"cordon s\n" } else { b"uncordon s\n" };
         stream.write_all(call).await.expect("sent");
         callers.push(stream);
@@ -255,17 +255,17 @@
     let agent = operated(&[], &directory).await;
     let mut halves = Vec::new();
     for _ in 0..32 {
-        let mut stream = agent.operator().await;
+        let mut stream = agent.connect_admin().await;
         stream.write_all(b"zones").await.expect("sent");
         halves.push(stream);
     }
     // One that is answered came after them, so all of them are held.
-    assert_eq!(agent.call("").await.lines().count(), 1);
+    assert_eq!(agent.admin_call("").await.lines().count(), 1);
     assert_eq!(all_said(&mut halves[0]).await, TOO_MANY);
     signal(&agent, "-STOP").await;
     let mut newcomers = Vec::new();
     for _ in 0..32 {
-        newcomers.push(agent.operator().await);
+        newcomers.push(agent.connect_admin().await);
     }
     for half in &mut halves[1..] {
         half.write_all(b"\n").await.expect("sent");
@@ -290,12 +290,12 @@
     .await;
     let directory = Directory::start(Mood::Mute).await;
     let agent = operated(&[host("s", backend.address, "up")], &directory).await;
-    agent.ready().await;
+    agent.wait_until_ready().await;
     let mut waits = agent.client().await;
     waits.send(&request("GET", "/read/held", "20000m", "")).await;
     let mut callers = Vec::new();
     for n in 0..CROWD {
-        let mut stream = agent.operator().await;
+        let mut stream = agent.connect_admin().await;
         callers.push(tokio::spawn(async move {
             match n % 3 {
                 0 => drop(stream.write_all(b"cordon s").await),
@@ -335,17 +335,17 @@
     std::fs::create_dir(&folder).expect("a folder");
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
     config["operator"] = "127.0.0.1:0".into();
-    let agent = Agent::with(config, |command| {
+    let agent = Agent::start_with(config, |command| {
         command.env("TMPDIR", &folder);
     })
     .await;
     std::fs::remove_dir_all(&folder).expect("removed");
     for _ in 0..2 {
-        let said = agent.call("cordon s").await;
+        let said = agent.admin_call("cordon s").await;
         assert!(said.starts_with("error it holds in this process alone"), "{said}");
     }
     std::fs::create_dir(&folder).expect("a folder");
-    assert_eq!(agent.call("cordon s").await, "done\n");
+    assert_eq!(agent.admin_call("cordon s").await, "done\n");
     let kept = std::fs::read_dir(&folder).expect("the folder").filter_map(Result::ok);
     let kept = kept.filter(|file| file.file_name().to_string_lossy().ends_with("cordons.json"));
     let words = kept.map(|file| std::fs::read_to_string(file.path()).expect("text")).collect::<String>();
@@ -373,12 +373,12 @@
     let names: Vec<String> = (0..RENDERERS).map(|n| format!("s{n}")).collect();
     let hosts: Vec<Value> = names.iter().map(|name| host(name, backend.address, "up")).collect();
     let agent = operated(&hosts, &directory).await;
-    agent.ready().await;
+    agent.wait_until_ready().await;
     for before in 0..10 {
         signal(&agent, "-STOP").await;
         let mut callers = Vec::new();
         for _ in 0..CALLERS {
-            let mut stream = agent.operator().await;
+            let mut stream = agent.connect_admin().await;
             stream.write_all(b"renderers\n").await.expect("sent");
             callers.push(tokio::spawn(answered(stream)));
         }
@@ -408,11 +408,11 @@
     let names: Vec<String> = (0..RENDERERS).map(|n| format!("s{n}")).collect();
     let hosts: Vec<Value> = names.iter().map(|name| host(name, backend.address, "up")).collect();
     let agent = operated(&hosts, &directory).await;
-    agent.ready().await;
+    agent.wait_until_ready().await;
     for call in ["", "health", "counters", "renderers"] {
         let mut callers = Vec::new();
         for _ in 0..CROWD * usize::from(!call.is_empty()) {
-            let (mut stream, call) = (agent.operator().await, format!("{call}\n"));
+            let (mut stream, call) = (agent.connect_admin().await, format!("{call}\n"));
             callers.push(tokio::spawn(async move {
                 stream.write_all(call.as_bytes()).await.expect("sent");
                 all_said(&mut stream).await.len()
--- a/agent/tests/service.rs
+++ b/agent/tests/service.rs
@@ -74,7 +74,7 @@
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
     config["limits"]["sockets"] = 128.into();
-    let agent = Agent::with(config, |_| {}).await;
+    let agent = Agent::start_with(config, |_| {}).await;
     let mut mute = Vec::new();
     for _ in 0..40 {
         mute.push(agent.client().await);
@@ -96,7 +96,7 @@
     assert_eq!(answer.status(), 503);
     directory.next_call().await;
     directory.list(2, &[host("s", backend.address, "up")]);
-    agent.ready().await;
+    agent.wait_until_ready().await;
     assert_eq!(agent.get("/read").await.status(), 200);
 }
 
@@ -131,7 +131,7 @@
     let mut directory = Directory::start(Mood::List(json!({"seq": 1, "whole": true, "hosts": []}))).await;
     let mut config = config(directory.address, &[host("old", old.address, "up")]);
     config["settings"]["discovery"] = "pushed".into();
-    let agent = Agent::with(config, |_| {}).await;
+    let agent = Agent::start_with(config, |_| {}).await;
     assert!(directory.next_call().await.starts_with("/v1/endpoints?after=1&wait_ms="));
     directory.list(2, &[host("old", old.address, "removed"), host("new", new.address, "up")]);
     assert!(directory.next_call().await.starts_with("/v1/endpoints?after=2&wait_ms="));
@@ -152,7 +152,7 @@
         json!({"seq": 3, "whole": true, "hosts": [host("new", new.address, "up")]}),
     ))
     .await;
-    let mut agent = Agent::with(config(before.address, &[host("old", old.address, "up")]), |command| {
+    let mut agent = Agent::start_with(config(before.address, &[host("old", old.address, "up")]), |command| {
         command.env("PROXY_DISCOVERY", before.address.to_string());
     })
     .await;
@@ -197,12 +197,12 @@
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
     config["settings"]["classes"][0]["name"] = "ready".into();
-    let agent = Agent::with(config, |_| {}).await;
-    agent.ready().await;
+    let agent = Agent::start_with(config, |_| {}).await;
+    agent.wait_until_ready().await;
     assert_eq!(agent.get("/ready").await.body, b"served");
     // Where there is none, a header more makes no request of a call for readiness.
     let agent = Agent::start(directory.address, &[host("s", backend.address, "up")]).await;
-    agent.ready().await;
+    agent.wait_until_ready().await;
     assert_eq!(agent.get("/ready").await.body, b"ready\n");
 }
 
@@ -219,7 +219,7 @@
     // That call stays unanswered; only another one hears of this.
     directory.list(2, &[host("s", backend.address, "up")]);
     directory.next_call().await;
-    agent.ready().await;
+    agent.wait_until_ready().await;
     assert_eq!(agent.get("/read").await.status(), 200);
 }
 
@@ -242,7 +242,7 @@
     let mut in_flight = agent.client().await;
     in_flight.send(&request("POST", "/pay", "2400m", "b")).await;
     backend.next().await;
-    agent.term().await;
+    agent.send_sigterm().await;
     idle.closed().await;
     let mut late = agent.client().await;
     let answer = late.ask(&request("GET", "/read", "2000m", "")).await;
@@ -253,7 +253,7 @@
     word.notify_one();
     let answer = in_flight.answer().await;
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(agent.end().await.success());
+    assert!(agent.wait_for_exit().await.success());
 }
 
 #[tokio::test]
@@ -362,7 +362,7 @@
         }
     })
     .await;
-    agent.term().await;
+    agent.send_sigterm().await;
     told.send_replace(Some(Instant::now()));
     let before = served.load(Ordering::SeqCst);
     for client in clients {
@@ -370,7 +370,7 @@
     }
     // How much traffic fits into the clients' 300 ms is the machine's matter; that there was some is not.
     assert!(served.load(Ordering::SeqCst) > before, "nothing was served after SIGTERM");
-    assert!(agent.end().await.success());
+    assert!(agent.wait_for_exit().await.success());
 }
 
 /// An agent that was killed outright starts again under the same address with the list it had, and serves.
@@ -379,13 +379,13 @@
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
-    let mut agent = Agent::with(config.clone(), |_| {}).await;
+    let mut agent = Agent::start_with(config.clone(), |_| {}).await;
     // A connection that is open when the process dies leaves its address in use for a while.
     let mut client = agent.client().await;
     assert_eq!(client.ask(&request("GET", "/read", "2000m", "")).await.status(), 200);
     agent.child.kill().await.expect("it is killed");
     config["listen"] = agent.address.to_string().into();
-    let again = Agent::with(config, |_| {}).await;
-    again.ready().await;
+    let again = Agent::start_with(config, |_| {}).await;
+    again.wait_until_ready().await;
     assert_eq!(again.get("/read").await.status(), 200);
 }
--- a/agent/tests/shutdown.rs
+++ b/agent/tests/shutdown.rs
@@ -2,11 +2,11 @@
 //! killed, which is the shortest deadline of the deployment (3 s at most) and 0.7 s after SIGTERM.
 
 mod common;
-#[path = "common/hold_ups.rs"]
-mod hold_ups;
+#[path = "common/timer_lag.rs"]
+mod timer_lag;
 use common::*;
-use hold_ups::HoldUps;
 use std::time::{Duration, Instant};
+use timer_lag::TimerLag;
 
 /// A process may be killed so long after SIGTERM, and the shortest deadline later.
 const KILL_DELAY: Duration = Duration::from_millis(700);
@@ -31,7 +31,7 @@
         (class["deadlineMs"], class["aimMs"]) = ((*deadline).into(), (deadline / 2).into());
     }
     let shortest = Duration::from_millis(*deadlines.iter().min().expect("some"));
-    let agent = Agent::with(config, |_| {}).await;
+    let agent = Agent::start_with(config, |_| {}).await;
     let ask = |class: usize, name: &str| {
         let (method, path) = [("GET", "/read/"), ("POST", "/save/"), ("POST", "/pay/")][class];
         request(method, &format!("{path}{name}"), &format!("{}m", deadlines[class]), "")
@@ -48,14 +48,14 @@
         client.send(first).await;
         half.push((format!("half {class}"), rest.to_owned(), client));
     }
-    let hold_ups = HoldUps::watch();
+    let timer_lag = TimerLag::watch();
     for class in 0..3 {
         let mut client = agent.client().await;
         client.send(&ask(class, "early")).await;
         owed.push((format!("early {class}"), client));
     }
     backend.next().await;
-    agent.term().await;
+    agent.send_sigterm().await;
     let told = Instant::now();
     for round in 0.. {
         tokio::time::sleep((STEP * round).saturating_sub(told.elapsed())).await;
@@ -81,7 +81,7 @@
             unanswered.push(name);
         }
     }
-    (unanswered, hold_ups.longest())
+    (unanswered, timer_lag.longest())
 }
 
 async fn all_are_answered(deadlines: [u64; 3]) {
--- a/agent/tests/stalls.rs
+++ b/agent/tests/stalls.rs
@@ -55,7 +55,7 @@
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", address, "up")]);
     config["operator"] = "127.0.0.1:0".into();
-    let agent = Agent::with(config, |_| {}).await;
+    let agent = Agent::start_with(config, |_| {}).await;
     let mut client = agent.client().await;
     let length = format!("Content-Length: {LENGTH}");
     client.send(&request("POST", "/pay", "900m", "").replace("Content-Length: 0", &length)).await;
--- a/agent/tests/syscall_storms.rs
+++ b/agent/tests/syscall_storms.rs
@@ -117,7 +117,8 @@
     let rules = faults.split("; ").map(|rule| format!("{rule} until={STORM}")).collect::<Vec<_>>();
     let schedule = format!("seed {seed}; {}", rules.join("; "));
     let mut agent =
-        Agent::with(config(directory.address, &hosts), |command| faults::meet(command, &schedule)).await;
+        Agent::start_with(config(directory.address, &hosts), |command| faults::meet(command, &schedule))
+            .await;
     let clients = (0..CLIENTS).map(|number| tokio::spawn(ask_all(agent.address, number, arrivals.clone())));
     let mut all = Ends::default();
     for client in clients.collect::<Vec<_>>() {
@@ -134,8 +135,8 @@
         }
     })
     .await;
-    agent.term().await;
-    assert!(agent.end().await.success(), "{schedule}");
+    agent.send_sigterm().await;
+    assert!(agent.wait_for_exit().await.success(), "{schedule}");
     all
 }
 
--- a/agent/tests/syscalls.rs
+++ b/agent/tests/syscalls.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 async fn agent_that_meets(schedule: &str, directory: SocketAddr, hosts: &[Value]) -> Agent {
-    Agent::with(config(directory, hosts), |command| faults::meet(command, schedule)).await
+    Agent::start_with(config(directory, hosts), |command| faults::meet(command, schedule)).await
 }
 
 /// Transfers of one byte, wherever they come, cost time and nothing else.
@@ -88,7 +88,7 @@
     let mut config = config(directory.address, &[]);
     config["limits"]["sockets"] = 80.into();
     let schedule = format!("accept {error} every=2");
-    let mut agent = Agent::with(config, |command| faults::meet(command, &schedule)).await;
+    let mut agent = Agent::start_with(config, |command| faults::meet(command, &schedule)).await;
     // Those that have sent nothing keep their places until the listener closes.
     let mut mute = Vec::new();
     for _ in 0..MUTE {
@@ -100,13 +100,13 @@
         client.send(&request("GET", "/of/no/class", "2000m", "")).await;
         asking.push(client);
     }
-    agent.term().await;
+    agent.send_sigterm().await;
     for (number, client) in asking.iter_mut().enumerate() {
         let answer = soon("an answer or an end", read_message(&mut client.stream, 0)).await;
         assert_eq!(answer.map_or(0, |answer| answer.status()), 404, "{error}, client {number}");
     }
     drop(mute);
-    assert!(agent.end().await.success());
+    assert!(agent.wait_for_exit().await.success());
 }
 
 /// A connect that fails for the agent's own want is no failure of the server.
@@ -128,13 +128,13 @@
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &hosts);
     config["operator"] = "127.0.0.1:0".into();
-    let agent = Agent::with(config, |command| faults::meet(command, schedule)).await;
+    let agent = Agent::start_with(config, |command| faults::meet(command, schedule)).await;
     // What could not be sent anywhere is refused; both serve once the faults are over.
     soon("an answer of each server", async {
         loop {
             let status = agent.get("/read").await.status();
             assert!([200, 429].contains(&status), "{schedule}: {status}");
-            let told = agent.figures("renderers").await;
+            let told = agent.admin_json("renderers").await;
             let servers = told["renderers"].as_array().expect("a list");
             for server in servers {
                 assert_eq!((&server["failed"], &server["doubted"]), (&0.into(), &false.into()), "{schedule}");
--- a/agent/tests/terms.rs
+++ b/agent/tests/terms.rs
@@ -37,7 +37,7 @@
     let mut directory = Directory::start(mood).await;
     let mut config = config(directory.address, &hosts("up"));
     config["settings"]["discovery"] = discovery.into();
-    let agent = Agent::with(config, |_| {}).await;
+    let agent = Agent::start_with(config, |_| {}).await;
     for _ in 0..failures {
         directory.next_call().await;
     }
@@ -70,7 +70,7 @@
 async fn narrow(directory: &Directory, hosts: &[serde_json::Value]) -> Agent {
     let mut config = config(directory.address, hosts);
     config["limits"]["sockets"] = 80.into();
-    Agent::with(config, |command| {
+    Agent::start_with(config, |command| {
         let program = command.as_std().get_program().to_owned();
         let limited = "ulimit -n 80; exec \"$0\"";
         let mut shell = tokio::process::Command::new("/bin/sh");
@@ -147,7 +147,7 @@
         agents.push(Agent::start(directory.address, &[host("s", backend.address, "up")]).await);
     }
     for agent in &agents {
-        agent.ready().await;
+        agent.wait_until_ready().await;
         assert_eq!(agent.get("/read").await.status(), 200);
         assert!(started.elapsed() < READY_MOST, "{:?}", started.elapsed());
     }
--- a/agent/tests/time_left.rs
+++ b/agent/tests/time_left.rs
@@ -2,12 +2,12 @@
 //! a client has its answer by its time.
 
 mod common;
-#[path = "common/hold_ups.rs"]
-mod hold_ups;
+#[path = "common/timer_lag.rs"]
+mod timer_lag;
 use common::*;
-use hold_ups::HoldUps;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use timer_lag::TimerLag;
 use tokio::sync::Notify;
 
 /// How long the clients wait.
@@ -46,7 +46,7 @@
         let class = &mut config["settings"]["classes"][class];
         (class["aimMs"], class["deadlineMs"]) = (20_000.into(), 60_000.into());
     }
-    let agent = Agent::with(config, |_| {}).await;
+    let agent = Agent::start_with(config, |_| {}).await;
     let mut client = agent.client().await;
     client.send(&request("POST", "/pay", &wait(), "b")).await;
     let sent = Instant::now();
@@ -73,7 +73,7 @@
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
     config["limits"]["memory_mb"] = 16.into();
     config["operator"] = "127.0.0.1:0".into();
-    let agent = Agent::with(config, |_| {}).await;
+    let agent = Agent::start_with(config, |_| {}).await;
     let mut clients = Vec::new();
     for _ in 0..BODIES {
         let mut client = agent.client().await;
@@ -124,7 +124,7 @@
     const SHORT: Duration = Duration::from_millis(300);
     for _ in 0..ROUNDS {
         let (_directory, _backend, agent, _word, _clients) = without_room().await;
-        let hold_ups = HoldUps::watch();
+        let timer_lag = TimerLag::watch();
         let mut client = agent.client().await;
         client.send(&request("POST", "/pay/waits", "300m", &"x".repeat(BODY))).await;
         let sent = Instant::now();
@@ -134,7 +134,7 @@
             assert_eq!(answer.status(), 503, "it was not sent on, so trying again is harmless");
             return;
         }
-        let held_up = hold_ups.longest();
+        let held_up = timer_lag.longest();
         assert!(held_up > HOLD_UP, "answered {} after {took:?}", answer.status());
     }
     panic!("the machine held every round up");
@@ -147,12 +147,12 @@
     const LONG: usize = 100 << 10;
     const SHORT: Duration = Duration::from_millis(1500);
     for _ in 0..ROUNDS {
-        let choked = Choked::start().await;
+        let full_backlog = FullBacklog::start().await;
         let directory = Directory::start(Mood::Mute).await;
-        let mut config = config(directory.address, &[host("s", choked.address, "up")]);
+        let mut config = config(directory.address, &[host("s", full_backlog.address, "up")]);
         config["settings"]["limits"]["connectTimeoutMs"] = 10_000.into();
-        let agent = Agent::with(config, |_| {}).await;
-        let hold_ups = HoldUps::watch();
+        let agent = Agent::start_with(config, |_| {}).await;
+        let timer_lag = TimerLag::watch();
         let mut client = agent.client().await;
         client.send(&request("POST", "/pay", "1500m", &"x".repeat(LONG))).await;
         let sent = Instant::now();
@@ -164,12 +164,12 @@
             tokio::time::sleep(GOES_BY).await;
             let gone = sent.elapsed();
             // The system tries the connect again a second after its beginning.
-            let mut stream = choked.next().await;
+            let mut stream = full_backlog.accept_pending().await;
             let message = soon("the attempt", read_message(&mut stream, 0)).await;
             (stream, message, gone)
         };
         let ((status, took), (_stream, attempt, gone)) = tokio::join!(answers, attempt);
-        let held_up = hold_ups.longest();
+        let held_up = timer_lag.longest();
         if held_up > HOLD_UP || attempt.is_none() {
             continue;
         }
--- a/agent/tests/told.rs
+++ b/agent/tests/told.rs
@@ -92,30 +92,30 @@
     let directory = Directory::start(Mood::Mute).await;
     let fleet = File::new(FLEET);
     let config = config(directory.address, &[host("s", backend.address, "up")]);
-    let mut agent = Agent::with(config, |command| {
+    let mut agent = Agent::start_with(config, |command| {
         command.env("PROXY_FLEET", &fleet.0);
     })
     .await;
-    agent.hang_up().await;
-    agent.says("nothing changed").await;
+    agent.send_sighup().await;
+    agent.wait_for_log("nothing changed").await;
     fleet.write(&FLEET[..FLEET.len() - 9]);
-    agent.hang_up().await;
-    assert!(agent.says("is not taken").await.contains("the last line has no end"));
+    agent.send_sighup().await;
+    assert!(agent.wait_for_log("is not taken").await.contains("the last line has no end"));
     fleet.write(&FLEET.replace("name = \"t\"", "name = \"u\""));
-    agent.hang_up().await;
-    assert!(agent.says("is not taken").await.contains("fleet.name changes from t to u"));
+    agent.send_sighup().await;
+    assert!(agent.wait_for_log("is not taken").await.contains("fleet.name changes from t to u"));
     // The last of several signals finds the file as it is by then.
     fleet.write(&FLEET.replace("[\"a\"]", "[\"a\", \"b\"]"));
-    agent.hang_up().await;
-    agent.hang_up().await;
-    agent.says("regions.n to [\"a\", \"b\"]").await;
+    agent.send_sighup().await;
+    agent.send_sighup().await;
+    agent.wait_for_log("regions.n to [\"a\", \"b\"]").await;
 
     let mut client = agent.client().await;
     client.send(&request("GET", "/read", "9000m", "")).await;
     backend.next().await;
-    agent.term().await;
-    agent.hang_up().await;
+    agent.send_sigterm().await;
+    agent.send_sighup().await;
     word.notify_one();
     assert_eq!(client.answer().await.status(), 200);
-    assert!(agent.end().await.success());
+    assert!(agent.wait_for_exit().await.success());
 }
--- a/agent/tests/upgrade.rs
+++ b/agent/tests/upgrade.rs
@@ -32,7 +32,7 @@
     async fn process_of(&self, mut config: Value) -> Agent {
         config["operator"] = "127.0.0.1:0".into();
         let socket = OwnedFd::from(self.socket.try_clone().expect("a copy"));
-        Agent::with(config, |command| {
+        Agent::start_with(config, |command| {
             // A shell moves it where it is told to be.
             let program = command.as_std().get_program().to_owned();
             let file = command.as_std().get_envs().find(|(name, _)| *name == "PROXY_CONFIG");
@@ -53,7 +53,7 @@
 }
 
 async fn healthy(agent: &Agent) {
-    soon("a yes", async { while agent.call("health").await != "done\n" {} }).await;
+    soon("a yes", async { while agent.admin_call("health").await != "done\n" {} }).await;
 }
 
 #[tokio::test]
@@ -75,8 +75,8 @@
     while !backend.next().await.head.contains("slow") {}
     let new = platform.process(&directory, &hosts).await;
     healthy(&new).await;
-    old.term().await;
-    soon("the old process's no", async { while old.call("health").await == "done\n" {} }).await;
+    old.send_sigterm().await;
+    soon("the old process's no", async { while old.admin_call("health").await == "done\n" {} }).await;
     // It leaves alone what comes from here on ...
     let mut next = old.client().await;
     assert_eq!(next.ask(&request("GET", "/read", "2000m", "")).await.status(), 200);
@@ -86,7 +86,7 @@
     assert_eq!((last.status(), last.header("connection")), (200, Some("close")));
     kept.closed().await;
     assert_eq!(waits.answer().await.status(), 504);
-    assert!(old.end().await.success());
+    assert!(old.wait_for_exit().await.success());
     assert_eq!(next.ask(&request("GET", "/read", "2000m", "")).await.header("connection"), None);
 }
 
@@ -99,7 +99,7 @@
     let platform = Platform::new("word");
     let old = platform.process(&directory, &hosts).await;
     healthy(&old).await;
-    assert_eq!(old.call("cordon out").await, "done\n");
+    assert_eq!(old.admin_call("cordon out").await, "done\n");
     let new = platform.process(&directory, &hosts).await;
     healthy(&new).await;
     assert_eq!(new.counters().await["cluster_unhealthy"], 1);
@@ -109,7 +109,7 @@
     }
     assert!(out.seen.try_recv().is_err(), "sent to a cordoned renderer");
     let third = platform.process(&directory, &hosts).await;
-    assert_eq!(new.call("uncordon out").await, "done\n");
+    assert_eq!(new.admin_call("uncordon out").await, "done\n");
     soon("the word's way", async { while third.counters().await["cluster_unhealthy"] != json!(0) {} }).await;
     soon("the renderer's return", async { while new.get("/read").await.body != b"out" {} }).await;
 }
@@ -123,7 +123,7 @@
     healthy(&old).await;
     let new = platform.process(&directory, &[]).await;
     for _ in 0..10 {
-        assert!(new.call("health").await.starts_with("error "));
+        assert!(new.admin_call("health").await.starts_with("error "));
         assert_eq!(old.get("/read").await.status(), 200);
     }
     assert_eq!(old.counters().await["answered"]["read"], 10);
@@ -150,7 +150,7 @@
         }
     })
     .await;
-    assert_eq!(agent.call("cordon s").await, "done\n");
+    assert_eq!(agent.admin_call("cordon s").await, "done\n");
     drop(agent);
     for (key, other) in [("name", json!("n1")), ("zones", json!(["a", "elsewhere"]))] {
         let mut foreign = own.clone();
@@ -163,7 +163,7 @@
     let mut turned = own.clone();
     turned["settings"]["classes"].as_array_mut().expect("classes").reverse();
     let mut turned = platform.process_of(turned).await;
-    let line = turned.says("is ignored").await;
+    let line = turned.wait_for_log("is ignored").await;
     assert!(line.contains("learned") && line.contains("classes read save pay, not for"), "{line}");
     assert_eq!(turned.counters().await["cluster_unhealthy"], 1, "the same renderer is still cordoned");
 }
--- a/agent/tests/watches.rs
+++ b/agent/tests/watches.rs
@@ -29,7 +29,7 @@
         }
         let mut config = config(directory.address, &hosts("up"));
         config["settings"]["discovery"] = discovery.into();
-        let agent = Agent::with(config, |_| {}).await;
+        let agent = Agent::start_with(config, |_| {}).await;
         let mut watch = directory.next_call().await;
         if answered {
             watch = directory.next_call().await;
@@ -60,7 +60,7 @@
     // Nobody answers here until the module's pause after the last failure is long over.
     let mut after = Directory::start(Mood::Mute).await;
     let known = host("old", nobody().await, "up");
-    let agent = Agent::with(config(before.address, &[known]), |_| {}).await;
+    let agent = Agent::start_with(config(before.address, &[known]), |_| {}).await;
     before.next_call().await;
     agent.reconfigure(&config(after.address, &[]).to_string()).await;
     assert_eq!(after.next_call().await, "/v1/endpoints");
@@ -81,11 +81,11 @@
     directory.next_call().await;
     let torn = json!({"host": "s", "dial": "nowhere", "site": "a", "health": "up"});
     directory.list(3, &[torn, host("gone", nobody().await, "removed")]);
-    let line = agent.says("is not taken").await;
+    let line = agent.wait_for_log("is not taken").await;
     assert!(line.contains("entry 0: dial is \"nowhere\", an address was expected"), "{line}");
     assert_eq!(agent.get("/read").await.status(), 200);
     directory.mood.send_replace(Mood::List(json!({"seq": 4, "whole": true, "hosts": "none"})));
-    let line = agent.says("its answer is no list").await;
+    let line = agent.wait_for_log("its answer is no list").await;
     assert!(line.contains("it has no hosts, an array was expected"), "{line}");
     assert_eq!(agent.get("/read").await.status(), 200);
 }
--- a/agent/tests/zones.rs
+++ b/agent/tests/zones.rs
@@ -34,12 +34,12 @@
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &hosts);
     config["operator"] = "127.0.0.1:0".into();
-    let mut agent = Agent::with(config, |_| {}).await;
-    agent.ready().await;
+    let mut agent = Agent::start_with(config, |_| {}).await;
+    agent.wait_until_ready().await;
     for _ in 0..20 {
         assert_eq!(agent.get("/read").await.status(), 200);
     }
-    let seen = zone(&agent.figures("zones").await, "b");
+    let seen = zone(&agent.admin_json("zones").await, "b");
     assert_eq!((&seen["phase"], &seen["share"]), (&json!("serving"), &json!(1.0)));
 
     silent.store(true, Ordering::SeqCst);
@@ -49,7 +49,7 @@
             // What is found out too late to be of use is refused.
             let (a, b, c, d) = tokio::join!(ask(), ask(), ask(), ask());
             assert!([a, b, c, d].iter().all(|status| [200, 429].contains(status)), "{:?}", [a, b, c, d]);
-            let seen = zone(&agent.figures("zones").await, "b");
+            let seen = zone(&agent.admin_json("zones").await, "b");
             if seen["phase"] == "away" {
                 break seen;
             }
@@ -59,11 +59,11 @@
     assert_eq!((&seen["share"], &seen["why"]), (&json!(0.0), &json!("silent")));
     silent.store(false, Ordering::SeqCst);
     soon("the return", async {
-        while zone(&agent.figures("zones").await, "b")["phase"] != "serving" {
+        while zone(&agent.admin_json("zones").await, "b")["phase"] != "serving" {
             assert_eq!(agent.get("/read").await.status(), 200);
         }
     })
     .await;
-    let line = agent.says("zone is Away").await;
+    let line = agent.wait_for_log("zone is Away").await;
     assert!(line.contains("zone=\"b\"") && line.contains("silent"), "{line}");
 }
