--- a/agent/tests/leaving.rs
+++ b/agent/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! A client that leaves is not sent on: whatever its request waits for in that moment, nothing of it begins at a renderer
-//! any more. A client that ends its sending side alone has left as well.
+//! Requests of clients that disconnect: whatever a request waits for at that moment, no further attempt is sent. A client
+//! that shuts down only its sending side counts as disconnected.
 
 mod common;
 use common::*;
@@ -9,54 +9,60 @@
 use tokio::io::AsyncWriteExt;
 use tokio::sync::Notify;
 
-/// Longer than any test takes: no deadline ends what a test waits for.
-const WAIT: &str = "60000m";
+/// Longer than any test, so that no request reaches its deadline.
+const CLIENT_TIMEOUT: &str = "60000m";
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Leave {
-    /// It closes its connection.
+enum Disconnect {
+    /// Closes the connection.
     Close,
-    /// The same, behind a part of its next request.
-    CloseBehindBytes,
-    /// It resets its connection.
+    /// Closes the connection after sending a part of the next request.
+    CloseAfterBytes,
+    /// Resets the connection.
     Reset,
-    /// It ends its sending side, and still listens.
-    EndSending,
-    /// The same, behind a part of its next request.
-    EndSendingBehindBytes,
+    /// Shuts down the sending side and keeps reading.
+    Shutdown,
+    /// Shuts down the sending side after sending a part of the next request.
+    ShutdownAfterBytes,
 }
 
-const WAYS: [Leave; 5] =
-    [Leave::Close, Leave::CloseBehindBytes, Leave::Reset, Leave::EndSending, Leave::EndSendingBehindBytes];
+const ALL_WAYS: [Disconnect; 5] = [
+    Disconnect::Close,
+    Disconnect::CloseAfterBytes,
+    Disconnect::Reset,
+    Disconnect::Shutdown,
+    Disconnect::ShutdownAfterBytes,
+];
 
-impl Leave {
-    /// Leaves; what is left of the client must stay until the test's end.
-    async fn by(self, mut client: Client) -> Option<Client> {
-        if matches!(self, Leave::CloseBehindBytes | Leave::EndSendingBehindBytes) {
-            client.send("POST /pay/left HTTP/1.1\r\nHost: serv").await;
+impl Disconnect {
+    /// Disconnects. The caller keeps the returned client until the test's end, since dropping it closes the connection.
+    async fn apply(self, mut client: Client) -> Option<Client> {
+        if matches!(self, Disconnect::CloseAfterBytes | Disconnect::ShutdownAfterBytes) {
+            client.send("POST /pay/abandoned HTTP/1.1\r\nHost: serv").await;
         }
         match self {
-            Leave::Close | Leave::CloseBehindBytes => None,
-            Leave::Reset => {
-                client.stream.set_zero_linger().expect("the option can be set");
+            Disconnect::Close | Disconnect::CloseAfterBytes => None,
+            Disconnect::Reset => {
+                client.stream.set_zero_linger().expect("failed to set SO_LINGER");
                 None
             }
-            Leave::EndSending | Leave::EndSendingBehindBytes => {
-                client.stream.shutdown().await.expect("the connection stands");
+            Disconnect::Shutdown | Disconnect::ShutdownAfterBytes => {
+                client.stream.shutdown().await.expect("failed to shut down the sending side");
                 Some(client)
             }
         }
     }
 }
 
-/// An agent may be held up for so long at any moment.
-const HOLD_UP: Duration = Duration::from_millis(150);
-/// An aim by which a request may wait in the queue for long.
-const LONG_AIM: u64 = 20_000;
+/// How long the agent is stopped: a delay that the scheduler may cause at any time.
+const STOP_TIME: Duration = Duration::from_millis(150);
+/// A latency objective that allows a long time in the queue.
+const LONG_LATENCY_OBJECTIVE_MS: u64 = 20_000;
 
-/// An agent that knows these servers, has long patience with its requests and with connects, and has a watch open.
-async fn patient(hosts: &[Value], aim: u64) -> (Directory, Agent) {
+/// Starts an agent with these servers, this latency objective, long deadlines and connect timeouts, and the admin API, and
+/// waits until it polls discovery.
+async fn start_agent(hosts: &[Value], latency_objective_ms: u64) -> (Directory, Agent) {
     let empty = serde_json::json!({"seq": 1, "whole": true, "hosts": []});
     let mut directory = Directory::start(Mood::List(empty)).await;
     let mut config = config(directory.address, hosts);
@@ -64,7 +70,7 @@
     settings["limits"]["connectTimeoutMs"] = 20_000.into();
     for class in 0..3 {
         let class = &mut settings["classes"][class];
-        (class["aimMs"], class["deadlineMs"]) = (aim.into(), 60_000.into());
+        (class["aimMs"], class["deadlineMs"]) = (latency_objective_ms.into(), 60_000.into());
     }
     config["operator"] = "127.0.0.1:0".into();
     let agent = Agent::start_with(config, |_| {}).await;
@@ -72,169 +78,181 @@
     (directory, agent)
 }
 
-/// Waits until the agent owes this many answers.
-async fn owes(agent: &Agent, answers: u64) {
-    soon("the count of open requests", async { while agent.counters().await["current"] != answers {} }).await;
+/// Waits until this many requests are open.
+async fn wait_for_open_requests(agent: &Agent, count: u64) {
+    soon("the count of open requests", async { while agent.counters().await["current"] != count {} }).await;
 }
 
-/// Waits until the agent has heard that a request's client has left; the log says so, and that nothing else ended it.
-async fn has_left(agent: &mut Agent) {
+/// Waits until the log shows that the request `id1` ended because its client disconnected.
+async fn wait_for_disconnect(agent: &mut Agent) {
     let line = agent.wait_for_log("id1").await;
     assert!(line.contains("gone"), "{line}");
 }
 
-/// Sends the next request, which is answered.
-async fn ask_next(agent: &Agent) {
-    assert_eq!(agent.client().await.ask(&request("GET", "/read/next", WAIT, "")).await.status(), 200);
+/// Sends another request, which must succeed.
+async fn send_next_request(agent: &Agent) {
+    assert_eq!(
+        agent.client().await.ask(&request("GET", "/read/next", CLIENT_TIMEOUT, "")).await.status(),
+        200
+    );
 }
 
-/// No server is open to a request, so it waits in the queue; the client leaves, and then a server comes.
+/// A request waits in the queue since no server accepts requests; its client disconnects, then a server joins.
 #[tokio::test]
-async fn nothing_is_sent_for_a_client_that_left_while_its_request_was_queued() {
-    for way in WAYS {
+async fn no_attempt_is_sent_if_the_client_disconnects_while_its_request_is_queued() {
+    for way in ALL_WAYS {
         let old = Backend::start(|_| Reply::Mute).await;
         let mut new = Backend::start(|_| Reply::Bytes(ok("x"))).await;
-        let (mut directory, mut agent) = patient(&[host("old", old.address, "up")], LONG_AIM).await;
+        let (mut directory, mut agent) =
+            start_agent(&[host("old", old.address, "up")], LONG_LATENCY_OBJECTIVE_MS).await;
         directory.list(2, &[host("old", old.address, "draining")]);
         directory.next_call().await;
         let mut client = agent.client().await;
-        client.send(&request("POST", "/pay/left", WAIT, "")).await;
-        owes(&agent, 1).await;
-        let _rest = way.by(client).await;
-        has_left(&mut agent).await;
+        client.send(&request("POST", "/pay/abandoned", CLIENT_TIMEOUT, "")).await;
+        wait_for_open_requests(&agent, 1).await;
+        let _client = way.apply(client).await;
+        wait_for_disconnect(&mut agent).await;
         directory.list(3, &[host("new", new.address, "up")]);
         directory.next_call().await;
-        ask_next(&agent).await;
+        send_next_request(&agent).await;
         assert_eq!(new.next().await.first_line(), "GET /read/next HTTP/1.1", "{way:?}");
     }
 }
 
-/// The same for a retry: the first attempt was turned away, and no other server is open by then.
+/// A retry waits in the queue: the first attempt was rejected, and no other server accepts requests by then.
 #[tokio::test]
-async fn no_retry_is_sent_for_a_client_that_left_while_it_was_queued() {
-    for way in WAYS {
-        let word = Arc::new(Notify::new());
-        let gate = word.clone();
+async fn no_retry_is_sent_if_the_client_disconnects_while_it_is_queued() {
+    for way in ALL_WAYS {
+        let reply_signal = Arc::new(Notify::new());
+        let script_signal = reply_signal.clone();
         let rejection = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
-        let mut old = Backend::start(move |_| Reply::When(gate.clone(), rejection.to_vec())).await;
+        let mut old = Backend::start(move |_| Reply::When(script_signal.clone(), rejection.to_vec())).await;
         let mut new = Backend::start(|_| Reply::Bytes(ok("x"))).await;
-        let (mut directory, mut agent) = patient(&[host("old", old.address, "up")], LONG_AIM).await;
+        let (mut directory, mut agent) =
+            start_agent(&[host("old", old.address, "up")], LONG_LATENCY_OBJECTIVE_MS).await;
         let mut client = agent.client().await;
-        client.send(&request("POST", "/pay/left", WAIT, "")).await;
+        client.send(&request("POST", "/pay/abandoned", CLIENT_TIMEOUT, "")).await;
         old.next().await;
         directory.list(2, &[host("old", old.address, "draining")]);
         directory.next_call().await;
-        word.notify_one();
-        // A server's counts tell that its answer has come.
+        reply_signal.notify_one();
+        // The server's counters show that the agent has received the response.
         let rejected = async || agent.admin_json("renderers").await["renderers"][0]["rejected"] == 1;
         soon("the rejection", async { while !rejected().await {} }).await;
-        owes(&agent, 1).await;
-        let _rest = way.by(client).await;
-        has_left(&mut agent).await;
+        wait_for_open_requests(&agent, 1).await;
+        let _client = way.apply(client).await;
+        wait_for_disconnect(&mut agent).await;
         directory.list(3, &[host("new", new.address, "up")]);
         directory.next_call().await;
-        ask_next(&agent).await;
+        send_next_request(&agent).await;
         assert_eq!(new.next().await.first_line(), "GET /read/next HTTP/1.1", "{way:?}");
     }
 }
 
-/// The agent is held up while an attempt is turned away and its client leaves, and finds both when it goes on: no retry
-/// begins, in whichever order they came.
+/// The agent is stopped while an attempt is rejected and its client disconnects, and finds both when it continues: no retry
+/// is sent, whichever came first.
 #[tokio::test]
-async fn no_retry_is_sent_for_a_client_that_left_while_the_agent_was_held_up() {
-    for (way, first) in WAYS.iter().flat_map(|way| [(*way, "the client"), (*way, "the answer")]) {
-        let word = Arc::new(Notify::new());
-        let gate = word.clone();
+async fn no_retry_is_sent_if_the_client_disconnects_while_the_agent_is_stopped() {
+    for (way, first) in ALL_WAYS.iter().flat_map(|way| [(*way, "the client"), (*way, "the response")]) {
+        let reply_signal = Arc::new(Notify::new());
+        let script_signal = reply_signal.clone();
         let rejection = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
-        let mut backend = Backend::start(move |message| match message.head.contains("left") {
-            true => Reply::When(gate.clone(), rejection.to_vec()),
+        let mut backend = Backend::start(move |message| match message.head.contains("abandoned") {
+            true => Reply::When(script_signal.clone(), rejection.to_vec()),
             false => Reply::Bytes(ok("x")),
         })
         .await;
-        let both = ["s", "t"].map(|name| host(name, backend.address, "up"));
-        let (_directory, mut agent) = patient(&both, LONG_AIM).await;
+        let servers = ["s", "t"].map(|name| host(name, backend.address, "up"));
+        let (_directory, mut agent) = start_agent(&servers, LONG_LATENCY_OBJECTIVE_MS).await;
         let mut client = agent.client().await;
-        client.send(&request("POST", "/pay/left", WAIT, "")).await;
+        client.send(&request("POST", "/pay/abandoned", CLIENT_TIMEOUT, "")).await;
         backend.next().await;
         agent.signal("-STOP").await;
-        if first == "the answer" {
-            word.notify_one();
-            tokio::time::sleep(HOLD_UP / 2).await;
+        if first == "the response" {
+            reply_signal.notify_one();
+            tokio::time::sleep(STOP_TIME / 2).await;
         }
-        let _rest = way.by(client).await;
-        word.notify_one();
-        tokio::time::sleep(HOLD_UP).await;
+        let _client = way.apply(client).await;
+        reply_signal.notify_one();
+        tokio::time::sleep(STOP_TIME).await;
         agent.signal("-CONT").await;
-        has_left(&mut agent).await;
-        ask_next(&agent).await;
+        wait_for_disconnect(&mut agent).await;
+        send_next_request(&agent).await;
         assert_eq!(backend.next().await.first_line(), "GET /read/next HTTP/1.1", "{way:?}, {first} first");
     }
 }
 
-/// A connection to a renderer comes up after the client has left, for a small body and for one that is still coming.
+/// The connection to a server is established after the client has disconnected, with a small body and with one that is
+/// still arriving.
 #[tokio::test]
-async fn nothing_is_sent_for_a_client_that_left_while_connecting() {
-    for way in WAYS {
-        left_while_connecting(way, "whole".to_owned(), 5).await;
-        left_while_connecting(way, "x".repeat(100 << 10), 1 << 20).await;
+async fn no_attempt_is_sent_if_the_client_disconnects_during_connect() {
+    for way in ALL_WAYS {
+        disconnect_during_connect(way, "small".to_owned(), 5).await;
+        disconnect_during_connect(way, "x".repeat(100 << 10), 1 << 20).await;
     }
 }
 
-async fn left_while_connecting(way: Leave, body: String, length: usize) {
+async fn disconnect_during_connect(way: Disconnect, body: String, length: usize) {
     let full_backlog = FullBacklogListener::start().await;
-    let (_directory, mut agent) = patient(&[host("s", full_backlog.address, "up")], LONG_AIM).await;
+    let (_directory, mut agent) =
+        start_agent(&[host("s", full_backlog.address, "up")], LONG_LATENCY_OBJECTIVE_MS).await;
     let mut client = agent.client().await;
-    let head = request("POST", "/pay/left", WAIT, "");
+    let head = request("POST", "/pay/abandoned", CLIENT_TIMEOUT, "");
     client.send(&head.replace("Content-Length: 0", &format!("Content-Length: {length}"))).await;
     client.send(&body).await;
     let in_flight = async || agent.admin_json("renderers").await["renderers"][0]["in_flight"] == 1;
     soon("the attempt", async { while !in_flight().await {} }).await;
-    let _rest = way.by(client).await;
-    has_left(&mut agent).await;
+    let _client = way.apply(client).await;
+    wait_for_disconnect(&mut agent).await;
     let mut stream = full_backlog.accept_pending().await;
-    // The connection serves the next request, so the first one's bytes would have come before these.
+    // The connection carries the next request, so any bytes of the first one would precede it.
     let mut client = agent.client().await;
-    client.send(&request("GET", "/read/next", WAIT, "")).await;
-    let message = soon("the next request", read_message(&mut stream, 0)).await.expect("a request");
+    client.send(&request("GET", "/read/next", CLIENT_TIMEOUT, "")).await;
+    let message = soon("the next request", read_message(&mut stream, 0))
+        .await
+        .expect("connection ended without a request");
     assert_eq!(message.first_line(), "GET /read/next HTTP/1.1", "{way:?}, a body of {length}");
 }
 
-/// An attempt at a server that says nothing is called back, and goes elsewhere. The client of one of two such requests
-/// leaves first; as the other one comes to the second server, the first one's time for that is over as well.
+/// A server does not respond, so its attempts are cancelled and retried elsewhere. The client of one of two such requests
+/// disconnects before that. Once the other request reaches the second server, the first one would have been retried as well.
 #[tokio::test]
-async fn no_second_copy_is_sent_for_a_client_that_left() {
-    for way in WAYS {
-        let mut mute = Backend::start(|_| Reply::Mute).await;
+async fn no_hedged_request_is_sent_if_the_client_disconnects() {
+    for way in ALL_WAYS {
+        let mut unresponsive = Backend::start(|_| Reply::Mute).await;
         let mut other = Backend::start(|_| Reply::Bytes(ok("x"))).await;
-        let (mut directory, mut agent) = patient(&[host("mute", mute.address, "up")], 1000).await;
-        let mut leaves = agent.client().await;
-        leaves.send(&request("GET", "/read/left", WAIT, "")).await;
-        mute.next().await;
-        let mut stays = agent.client().await;
-        stays.send(&request("GET", "/read/stays", WAIT, "")).await;
-        mute.next().await;
-        directory.list(2, &[host("mute", mute.address, "up"), host("other", other.address, "up")]);
+        let (mut directory, mut agent) =
+            start_agent(&[host("unresponsive", unresponsive.address, "up")], 1000).await;
+        let mut disconnecting = agent.client().await;
+        disconnecting.send(&request("GET", "/read/abandoned", CLIENT_TIMEOUT, "")).await;
+        unresponsive.next().await;
+        let mut waiting = agent.client().await;
+        waiting.send(&request("GET", "/read/waiting", CLIENT_TIMEOUT, "")).await;
+        unresponsive.next().await;
+        directory
+            .list(2, &[host("unresponsive", unresponsive.address, "up"), host("other", other.address, "up")]);
         directory.next_call().await;
-        let _rest = way.by(leaves).await;
-        has_left(&mut agent).await;
-        assert_eq!(stays.answer().await.status(), 200, "{way:?}");
-        assert_eq!(other.next().await.first_line(), "GET /read/stays HTTP/1.1", "{way:?}");
-        assert!(other.seen.try_recv().is_err(), "{way:?}: sent on after its client had left");
+        let _client = way.apply(disconnecting).await;
+        wait_for_disconnect(&mut agent).await;
+        assert_eq!(waiting.answer().await.status(), 200, "{way:?}");
+        assert_eq!(other.next().await.first_line(), "GET /read/waiting HTTP/1.1", "{way:?}");
+        assert!(other.seen.try_recv().is_err(), "{way:?}: forwarded after its client had disconnected");
     }
 }
 
-/// What a body that ends too early belongs to is no request, small or long.
+/// A request with a truncated body is not forwarded.
 #[tokio::test]
-async fn nothing_is_sent_for_a_client_that_left_within_its_body() {
-    for way in [Leave::Close, Leave::Reset, Leave::EndSending] {
+async fn no_attempt_is_sent_if_the_client_disconnects_within_its_body() {
+    for way in [Disconnect::Close, Disconnect::Reset, Disconnect::Shutdown] {
         let mut backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
-        let (_directory, mut agent) = patient(&[host("s", backend.address, "up")], LONG_AIM).await;
+        let (_directory, mut agent) =
+            start_agent(&[host("s", backend.address, "up")], LONG_LATENCY_OBJECTIVE_MS).await;
         let mut client = agent.client().await;
-        let head = request("POST", "/pay/left", WAIT, "").replace("Length: 0", "Length: 10");
+        let head = request("POST", "/pay/abandoned", CLIENT_TIMEOUT, "").replace("Length: 0", "Length: 10");
         client.send(&(head + "half")).await;
-        let _rest = way.by(client).await;
+        let _client = way.apply(client).await;
         agent.wait_for_log("id1").await;
-        ask_next(&agent).await;
+        send_next_request(&agent).await;
         assert_eq!(backend.next().await.first_line(), "GET /read/next HTTP/1.1", "{way:?}");
     }
 }
--- a/agent/tests/lingering.rs
+++ b/agent/tests/lingering.rs
@@ -1,4 +1,4 @@
-//! Client peers that do not end their own side after the agent has ended its own.
+//! Clients that do not close their side of a connection after the agent has closed its own.
 
 mod common;
 use common::*;
@@ -6,48 +6,49 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// What the agent may hold; less than this is left for its clients.
-const SOCKETS: usize = 56;
-/// How long a connection lingers where its place is not needed.
-const LINGER: Duration = Duration::from_millis(500);
-/// Times that the crowd could fill all that the agent may hold.
+/// The agent's socket limit without its own 24 sockets; fewer than this are left for clients.
+const CLIENT_SOCKETS: usize = 56;
+/// How long a closed connection lingers while its slot is not needed.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// How often all the clients together could fill the agent's connection slots.
 const ROUNDS: usize = 24;
-const CROWD: usize = ROUNDS * SOCKETS;
-/// Peers that come at a time.
-const AT_ONCE: usize = 48;
+const CLIENTS: usize = ROUNDS * CLIENT_SOCKETS;
+/// Clients that are connected at a time.
+const CONCURRENT_CLIENTS: usize = 48;
 
-/// A crowd of peers that hear their last answer and leave the connection half open holds up nobody: were each to keep its
-/// place for as long as it may linger, whoever comes behind them would wait for at least as many rounds of that.
+/// Clients that leave their connections half open after the last response do not delay others. If each kept its slot for
+/// the whole linger timeout, the request after them would wait for at least [`ROUNDS`] such timeouts.
 #[tokio::test]
-async fn a_crowd_that_does_not_end_its_own_side_holds_up_nobody() {
+async fn half_open_clients_do_not_delay_others() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
-    // 24 of them are the agent's own, and no more than the others can be its clients'.
-    config["limits"]["sockets"] = (SOCKETS + 24).into();
+    // The agent needs 24 sockets for itself; at most the others are available to clients.
+    config["limits"]["sockets"] = (CLIENT_SOCKETS + 24).into();
     let agent = Agent::start_with(config, |_| {}).await;
     agent.wait_until_ready().await;
     let address = agent.address;
-    let begun = Instant::now();
-    let peers = (0..AT_ONCE).map(|_| tokio::spawn(linger_often(address, CROWD / AT_ONCE)));
+    let started_at = Instant::now();
+    let tasks = (0..CONCURRENT_CLIENTS)
+        .map(|_| tokio::spawn(open_half_closed(address, CLIENTS / CONCURRENT_CLIENTS)));
     let mut half_open: Vec<TcpStream> = Vec::new();
-    for peer in peers.collect::<Vec<_>>() {
-        half_open.extend(peer.await.expect("no panic"));
+    for task in tasks.collect::<Vec<_>>() {
+        half_open.extend(task.await.expect("task panicked"));
     }
     assert_eq!(agent.get("/read").await.status(), 200);
-    let took = begun.elapsed();
-    assert!(took < LINGER * ROUNDS as u32, "{took:?} behind {} peers", half_open.len());
+    let took = started_at.elapsed();
+    assert!(took < LINGER_TIMEOUT * ROUNDS as u32, "{took:?} after {} half-open clients", half_open.len());
 }
 
-/// Peers one behind the other, each answered whole; their connections, half open.
-async fn linger_often(address: std::net::SocketAddr, peers: usize) -> Vec<TcpStream> {
+/// Sends a request over each of several consecutive connections and returns the connections, which are half open.
+async fn open_half_closed(address: std::net::SocketAddr, clients: usize) -> Vec<TcpStream> {
     let mut half_open = Vec::new();
-    for _ in 0..peers {
-        let stream = soon("a connection", TcpStream::connect(address)).await.expect("a connection");
+    for _ in 0..clients {
+        let stream = soon("a connection", TcpStream::connect(address)).await.expect("failed to connect");
         let mut client = Client { stream };
         client.send("GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").await;
         assert_eq!(client.answer().await.status(), 200);
-        let end = soon("the agent's end", client.stream.read(&mut [0; 1])).await;
+        let end = soon("the agent's close of the connection", client.stream.read(&mut [0; 1])).await;
         assert!(matches!(end, Ok(0)), "{end:?}");
         half_open.push(client.stream);
     }
