--- a/agent/tests/closings.rs
+++ b/agent/tests/closings.rs
@@ -79,7 +79,7 @@
     assert!(agent.wait_for_exit().await.success());
 }
 
-/// Connections in the listen backlog, which wait since the agent is at its connection limit, are served in a shutdown
+/// Connections in the listen backlog, which wait because the agent is at its connection limit, are served in a shutdown
 /// when slots become free, and are not reset when the listener closes.
 #[tokio::test]
 async fn connections_in_the_backlog_are_served_in_a_shutdown() {
--- a/agent/tests/stalls.rs
+++ b/agent/tests/stalls.rs
@@ -1,4 +1,4 @@
-//! Long bodies that stand still on both sides: a renderer that takes no more, and a client that cannot send on.
+//! Stalled transfers of long bodies: a client that stops reading its response, and a server that stops reading a request.
 
 mod common;
 use common::*;
@@ -7,49 +7,55 @@
 use tokio::net::TcpListener;
 
 const MB: usize = 1 << 20;
-/// More than the system takes on the way.
-const LENGTH: usize = 32 * MB;
-/// No request stands still for nearly as long.
-const LAST: Duration = Duration::from_secs(120);
+/// More than the socket buffers on the way hold.
+const BODY_BYTES: usize = 32 * MB;
+/// Much longer than the agent lets a transfer stall.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// What a renderer may be silent for in the middle of an answer, with something to spare.
-const PAST_STALL: Duration = Duration::from_secs(33);
+/// Longer than a server may be silent within a response.
+const LONGER_THAN_STALL_TIMEOUT: Duration = Duration::from_secs(33);
 
-/// A client that takes nothing for longer than a renderer may be silent, and then goes on: its renderer, that could send no
-/// more meanwhile, has not been silent, and the answer goes on to its end.
+/// A client stops reading for longer than a server may be silent, and then continues. The server could not send in the
+/// meantime, so this does not count as its silence, and the response is forwarded to its end.
 #[tokio::test]
-async fn an_answer_whose_client_stood_still_goes_on_to_its_end() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+async fn response_to_a_stalled_client_is_forwarded_to_its_end() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a port");
+    let address = listener.local_addr().expect("no local address");
     tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("the agent's connection");
-        read_message(&mut stream, 0).await.expect("a request");
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n");
-        stream.write_all(head.as_bytes()).await.expect("the agent reads");
-        stream.write_all(&vec![b'x'; LENGTH]).await.expect("the agent reads");
+        let (mut stream, _) = listener.accept().await.expect("failed to accept the agent's connection");
+        read_message(&mut stream, 0).await.expect("connection ended without a request");
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY_BYTES}\r\n\r\n");
+        stream.write_all(head.as_bytes()).await.expect("failed to write to the agent");
+        stream.write_all(&vec![b'x'; BODY_BYTES]).await.expect("failed to write to the agent");
     });
     let directory = Directory::start(Mood::Mute).await;
     let agent = Agent::start(directory.address, &[host("s", address, "up")]).await;
     let mut client = agent.client().await;
     client.send(&request("GET", "/read", "900m", "").replace("Host:", "Connection: close\r\nHost:")).await;
-    soon("the answer's beginning", client.stream.readable()).await.expect("bytes");
-    tokio::time::sleep(PAST_STALL).await;
+    soon("the response's beginning", client.stream.readable()).await.expect("read failed");
+    tokio::time::sleep(LONGER_THAN_STALL_TIMEOUT).await;
     let mut answer = Vec::new();
-    soon("the rest", client.stream.read_to_end(&mut answer)).await.expect("no reset");
-    assert!(answer.len() > LENGTH && answer.ends_with(b"x"), "{} bytes of over {LENGTH}", answer.len());
+    soon("the rest of the response", client.stream.read_to_end(&mut answer))
+        .await
+        .expect("connection was reset");
+    assert!(
+        answer.len() > BODY_BYTES && answer.ends_with(b"x"),
+        "{} bytes of over {BODY_BYTES}",
+        answer.len()
+    );
 }
 
-/// A renderer that stops in the middle of a request, without closing anything, has the request given up: its client, that
-/// waits to send on, is answered, and what the body held is free again.
+/// When a server stops reading within a request without closing the connection, the agent gives the request up: the client,
+/// which is blocked on sending, gets a response, and the resources of the request are released.
 #[tokio::test]
-async fn a_renderer_that_takes_no_more_of_a_body_does_not_hold_its_client_for_ever() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
-    // Its connections are taken and never read.
+async fn client_is_answered_if_the_server_stops_reading_the_body() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a port");
+    let address = listener.local_addr().expect("no local address");
+    // It accepts connections and never reads from them.
     tokio::spawn(async move {
-        let mut taken = Vec::new();
+        let mut accepted = Vec::new();
         while let Ok((stream, _)) = listener.accept().await {
-            taken.push(stream);
+            accepted.push(stream);
         }
     });
     let directory = Directory::start(Mood::Mute).await;
@@ -57,7 +63,7 @@
     config["operator"] = "127.0.0.1:0".into();
     let agent = Agent::start_with(config, |_| {}).await;
     let mut client = agent.client().await;
-    let length = format!("Content-Length: {LENGTH}");
+    let length = format!("Content-Length: {BODY_BYTES}");
     client.send(&request("POST", "/pay", "900m", "").replace("Content-Length: 0", &length)).await;
     let (mut read, mut write) = client.stream.into_split();
     let writes = tokio::spawn(async move {
@@ -65,8 +71,8 @@
         while write.write_all(&piece).await.is_ok() {}
     });
     let mut first = [0; 12];
-    let answer = tokio::time::timeout(LAST, read.read_exact(&mut first)).await;
-    answer.expect("an answer").expect("bytes");
+    let answer = tokio::time::timeout(RESPONSE_TIMEOUT, read.read_exact(&mut first)).await;
+    answer.expect("no response in time").expect("read failed");
     assert!(first.starts_with(b"HTTP/1.1 5") || first.starts_with(b"HTTP/1.1 429"), "{first:?}");
     assert_eq!(agent.counters().await["current"], 0);
     writes.abort();
--- a/agent/tests/time_left.rs
+++ b/agent/tests/time_left.rs
@@ -1,5 +1,5 @@
-//! What an attempt tells its renderer is at most what is left to the client, whatever its request has waited for before; and
-//! a client has its answer by its time.
+//! `X-Timeout` of an attempt is at most the client's remaining time, whatever the request waited for before, and a client
+//! gets its response before its timeout.
 
 mod common;
 #[path = "common/timer_lag.rs"]
@@ -10,36 +10,37 @@
 use timer_lag::TimerLag;
 use tokio::sync::Notify;
 
-/// How long the clients wait.
-const WAIT: Duration = Duration::from_secs(60);
-/// Time that goes by while a request waits.
-const GOES_BY: Duration = Duration::from_millis(600);
-/// An agent may be held up for so long at any moment.
-const HOLD_UP: Duration = Duration::from_millis(150);
-/// The smallest budget has room for so many bodies of the longest kind that is kept.
-const BODIES: u64 = 16;
-const BODY: usize = 64 << 10;
-/// An answer that comes so long after its client's time is lost.
-const LATE_MOST: Duration = Duration::from_millis(500);
+/// The timeout of the clients.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long a request is made to wait.
+const DELAY: Duration = Duration::from_millis(600);
+/// How long the scheduler may delay the agent at any time.
+const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(150);
+/// The smallest memory budget fits this many bodies of the largest size that is buffered.
+const BODIES_IN_BUDGET: u64 = 16;
+const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
+/// A client discards a response that comes this long after its timeout.
+const MAX_LATENESS: Duration = Duration::from_millis(500);
 const ROUNDS: usize = 10;
 
-/// What an attempt has told its renderer.
-fn told(attempt: &Message) -> Duration {
-    let told = attempt.header("x-timeout").and_then(|told| told.strip_suffix('u')?.parse().ok());
-    Duration::from_micros(told.expect("a time"))
+/// The `X-Timeout` of an attempt.
+fn sent_timeout(attempt: &Message) -> Duration {
+    let timeout = attempt.header("x-timeout").and_then(|value| value.strip_suffix('u')?.parse().ok());
+    Duration::from_micros(timeout.expect("no X-Timeout in µs"))
 }
 
-fn wait() -> String {
-    format!("{}m", WAIT.as_millis())
+/// [`CLIENT_TIMEOUT`] as a header value.
+fn client_timeout() -> String {
+    format!("{}m", CLIENT_TIMEOUT.as_millis())
 }
 
-/// The first attempt fails late, and the agent is held up just then: what its retry tells is what is left after both.
+/// The first attempt fails late, and the agent is stopped at that moment: the retry is sent with the time left after both.
 #[tokio::test]
-async fn a_retry_tells_what_is_left_after_a_late_failure_and_a_hold_up() {
-    let word = Arc::new(Notify::new());
-    let gate = word.clone();
+async fn x_timeout_of_a_retry_excludes_a_late_failure_and_a_scheduling_delay() {
+    let reply_signal = Arc::new(Notify::new());
+    let script_signal = reply_signal.clone();
     let rejection = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
-    let mut backend = Backend::start(move |_| Reply::When(gate.clone(), rejection.to_vec())).await;
+    let mut backend = Backend::start(move |_| Reply::When(script_signal.clone(), rejection.to_vec())).await;
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
     for class in 0..3 {
@@ -48,61 +49,65 @@
     }
     let agent = Agent::start_with(config, |_| {}).await;
     let mut client = agent.client().await;
-    client.send(&request("POST", "/pay", &wait(), "b")).await;
-    let sent = Instant::now();
+    client.send(&request("POST", "/pay", &client_timeout(), "b")).await;
+    let sent_at = Instant::now();
     let first = backend.next().await;
-    assert!(told(&first) <= WAIT);
-    tokio::time::sleep(GOES_BY).await;
+    assert!(sent_timeout(&first) <= CLIENT_TIMEOUT);
+    tokio::time::sleep(DELAY).await;
     agent.signal("-STOP").await;
-    word.notify_one();
-    tokio::time::sleep(HOLD_UP).await;
-    let gone = sent.elapsed();
+    reply_signal.notify_one();
+    tokio::time::sleep(MAX_SCHEDULING_DELAY).await;
+    let elapsed = sent_at.elapsed();
     agent.signal("-CONT").await;
-    let retry = told(&backend.next().await);
-    assert!(retry <= WAIT - gone, "told {retry:?} after {gone:?} of {WAIT:?}");
-    assert!(retry > WAIT / 2, "told {retry:?}");
+    let retry = sent_timeout(&backend.next().await);
+    assert!(retry <= CLIENT_TIMEOUT - elapsed, "sent {retry:?} after {elapsed:?} of {CLIENT_TIMEOUT:?}");
+    assert!(retry > CLIENT_TIMEOUT / 2, "sent {retry:?}");
 }
 
-/// An agent that has no room for one more body: as many as fit wait for their renderer. Its renderer answers one of them
-/// with each word.
-async fn without_room() -> (Directory, Backend, Agent, Arc<Notify>, Vec<Client>) {
-    let word = Arc::new(Notify::new());
-    let gate = word.clone();
-    let backend = Backend::start(move |_| Reply::When(gate.clone(), ok("x"))).await;
+/// Starts an agent whose memory budget is full: as many bodies as fit wait for responses of the server, which answers one
+/// of them per notification.
+async fn start_agent_with_full_budget() -> (Directory, Backend, Agent, Arc<Notify>, Vec<Client>) {
+    let reply_signal = Arc::new(Notify::new());
+    let script_signal = reply_signal.clone();
+    let backend = Backend::start(move |_| Reply::When(script_signal.clone(), ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
     config["limits"]["memory_mb"] = 16.into();
     config["operator"] = "127.0.0.1:0".into();
     let agent = Agent::start_with(config, |_| {}).await;
     let mut clients = Vec::new();
-    for _ in 0..BODIES {
+    for _ in 0..BODIES_IN_BUDGET {
         let mut client = agent.client().await;
-        client.send(&request("POST", "/pay/holds", &wait(), &"x".repeat(BODY))).await;
+        client
+            .send(&request("POST", "/pay/holds", &client_timeout(), &"x".repeat(MAX_BUFFERED_BODY_BYTES)))
+            .await;
         clients.push(client);
     }
-    soon("the bodies", async { while agent.counters().await["current"] != BODIES {} }).await;
-    (directory, backend, agent, word, clients)
+    soon("the bodies", async { while agent.counters().await["current"] != BODIES_IN_BUDGET {} }).await;
+    (directory, backend, agent, reply_signal, clients)
 }
 
-/// A body waits for room, and its client has sent all of it. What goes by meanwhile is its client's time. On a machine that
-/// takes longer for it than a body may, nothing is shown.
+/// A body that its client has sent completely waits for memory, and this wait counts against the client's timeout. A round
+/// in which the body is rejected first, since the machine was slow, is inconclusive and is repeated.
 #[tokio::test]
-async fn an_attempt_tells_what_is_left_after_its_body_had_waited_for_room() {
+async fn x_timeout_excludes_the_wait_of_the_body_for_memory() {
     for _ in 0..ROUNDS {
-        let (_directory, mut backend, agent, word, _clients) = without_room().await;
+        let (_directory, mut backend, agent, reply_signal, _clients) = start_agent_with_full_budget().await;
         let mut client = agent.client().await;
-        client.send(&request("POST", "/pay/waits", &wait(), &"x".repeat(BODY))).await;
-        let sent = Instant::now();
-        tokio::time::sleep(GOES_BY).await;
-        let gone = sent.elapsed();
-        word.notify_one();
+        client
+            .send(&request("POST", "/pay/waits", &client_timeout(), &"x".repeat(MAX_BUFFERED_BODY_BYTES)))
+            .await;
+        let sent_at = Instant::now();
+        tokio::time::sleep(DELAY).await;
+        let elapsed = sent_at.elapsed();
+        reply_signal.notify_one();
         let attempt = async {
             loop {
                 let message = backend.next().await;
                 if message.head.contains("waits") {
                     return Some(message);
                 }
-                word.notify_one();
+                reply_signal.notify_one();
             }
         };
         let attempt = tokio::select! {
@@ -110,42 +115,45 @@
             _ = client.answer() => None,
         };
         if let Some(attempt) = attempt {
-            let told = told(&attempt);
-            assert!(told <= WAIT - gone, "told {told:?} after {gone:?} of {WAIT:?}");
+            let timeout = sent_timeout(&attempt);
+            assert!(
+                timeout <= CLIENT_TIMEOUT - elapsed,
+                "sent {timeout:?} after {elapsed:?} of {CLIENT_TIMEOUT:?}"
+            );
             return;
         }
     }
-    panic!("the machine held every round up");
+    panic!("all {ROUNDS} rounds were disturbed by scheduling delays");
 }
 
-/// There is no room for a body in all of its client's time: the answer comes by then.
+/// There is no memory for a body until its client's timeout: the response comes in time.
 #[tokio::test]
-async fn a_body_that_finds_no_room_has_its_answer_in_its_clients_time() {
-    const SHORT: Duration = Duration::from_millis(300);
+async fn body_without_memory_is_answered_before_the_clients_timeout() {
+    const SHORT_TIMEOUT: Duration = Duration::from_millis(300);
     for _ in 0..ROUNDS {
-        let (_directory, _backend, agent, _word, _clients) = without_room().await;
+        let (_directory, _backend, agent, _reply_signal, _clients) = start_agent_with_full_budget().await;
         let timer_lag = TimerLag::start();
         let mut client = agent.client().await;
-        client.send(&request("POST", "/pay/waits", "300m", &"x".repeat(BODY))).await;
-        let sent = Instant::now();
+        client.send(&request("POST", "/pay/waits", "300m", &"x".repeat(MAX_BUFFERED_BODY_BYTES))).await;
+        let sent_at = Instant::now();
         let answer = client.answer().await;
-        let took = sent.elapsed();
-        if took < SHORT + LATE_MOST {
-            assert_eq!(answer.status(), 503, "it was not sent on, so trying again is harmless");
+        let took = sent_at.elapsed();
+        if took < SHORT_TIMEOUT + MAX_LATENESS {
+            assert_eq!(answer.status(), 503, "it was not forwarded, so a retry is safe");
             return;
         }
-        let held_up = timer_lag.max_lag();
-        assert!(held_up > HOLD_UP, "answered {} after {took:?}", answer.status());
+        let max_lag = timer_lag.max_lag();
+        assert!(max_lag > MAX_SCHEDULING_DELAY, "answered {} after {took:?}", answer.status());
     }
-    panic!("the machine held every round up");
+    panic!("all {ROUNDS} rounds were disturbed by scheduling delays");
 }
 
-/// A connection comes up late, and a body that is too long to be kept lies whole in the system's buffers meanwhile: its time
-/// goes by from its last byte. What is told is what is left, and the answer comes by then.
+/// A connection is established late, while a body that is too long to be buffered lies completely in the socket buffers:
+/// its client's timeout counts from its last byte. `X-Timeout` is the remaining time, and the response comes in time.
 #[tokio::test]
-async fn a_long_body_that_lies_unread_has_its_time() {
-    const LONG: usize = 100 << 10;
-    const SHORT: Duration = Duration::from_millis(1500);
+async fn timeout_of_a_long_body_counts_while_it_is_unread() {
+    const LONG_BODY_BYTES: usize = 100 << 10;
+    const SHORT_TIMEOUT: Duration = Duration::from_millis(1500);
     for _ in 0..ROUNDS {
         let full_backlog = FullBacklogListener::start().await;
         let directory = Directory::start(Mood::Mute).await;
@@ -154,29 +162,32 @@
         let agent = Agent::start_with(config, |_| {}).await;
         let timer_lag = TimerLag::start();
         let mut client = agent.client().await;
-        client.send(&request("POST", "/pay", "1500m", &"x".repeat(LONG))).await;
-        let sent = Instant::now();
-        let answers = async {
+        client.send(&request("POST", "/pay", "1500m", &"x".repeat(LONG_BODY_BYTES))).await;
+        let sent_at = Instant::now();
+        let response = async {
             let answer = client.answer().await;
-            (answer.status(), sent.elapsed())
+            (answer.status(), sent_at.elapsed())
         };
         let attempt = async {
-            tokio::time::sleep(GOES_BY).await;
-            let gone = sent.elapsed();
-            // The system tries the connect again a second after its beginning.
+            tokio::time::sleep(DELAY).await;
+            let elapsed = sent_at.elapsed();
+            // The kernel sends the SYN again a second after the first one.
             let mut stream = full_backlog.accept_pending().await;
             let message = soon("the attempt", read_message(&mut stream, 0)).await;
-            (stream, message, gone)
+            (stream, message, elapsed)
         };
-        let ((status, took), (_stream, attempt, gone)) = tokio::join!(answers, attempt);
-        let held_up = timer_lag.max_lag();
-        if held_up > HOLD_UP || attempt.is_none() {
+        let ((status, took), (_stream, attempt, elapsed)) = tokio::join!(response, attempt);
+        let max_lag = timer_lag.max_lag();
+        if max_lag > MAX_SCHEDULING_DELAY || attempt.is_none() {
             continue;
         }
-        let told = told(&attempt.expect("some"));
-        assert!(told <= SHORT - gone, "told {told:?} after {gone:?} of {SHORT:?}");
-        assert!(took < SHORT + LATE_MOST, "answered {status} after {took:?} of {SHORT:?}");
+        let timeout = sent_timeout(&attempt.expect("checked above"));
+        assert!(
+            timeout <= SHORT_TIMEOUT - elapsed,
+            "sent {timeout:?} after {elapsed:?} of {SHORT_TIMEOUT:?}"
+        );
+        assert!(took < SHORT_TIMEOUT + MAX_LATENESS, "answered {status} after {took:?} of {SHORT_TIMEOUT:?}");
         return;
     }
-    panic!("the machine held every round up");
+    panic!("all {ROUNDS} rounds were disturbed by scheduling delays");
 }
--- a/agent/tests/told.rs
+++ b/agent/tests/told.rs
@@ -1,4 +1,4 @@
-//! What the agent is told at its start and while it runs: the command line and the fleet file.
+//! The inputs of the agent at its start and while it runs: the command line and the fleet file.
 
 mod common;
 use common::*;
@@ -7,90 +7,98 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// A file of its own for a test, gone at its end.
-struct File(PathBuf);
+/// A temporary file; removed on drop.
+struct TempFile(PathBuf);
 
-impl File {
+impl TempFile {
     fn new(text: &str) -> Self {
-        File(write_config(text))
+        TempFile(write_config(text))
     }
 
     fn write(&self, text: &str) {
-        std::fs::write(&self.0, text).expect("a file");
+        std::fs::write(&self.0, text).expect("failed to write the file");
     }
 }
 
-impl Drop for File {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-const FLEET: &str =
+const FLEET_FILE: &str =
     "[fleet]\nname = \"t\"\nlisten = \"127.0.0.9:7946\"\nseeds = []\n[regions]\nn = [\"a\"]\n";
 
-fn good() -> File {
-    File::new(&config("127.0.0.1:1".parse().expect("an address"), &[]).to_string())
+/// A valid configuration without servers.
+fn valid_config() -> TempFile {
+    TempFile::new(&config("127.0.0.1:1".parse().expect("invalid address"), &[]).to_string())
 }
 
-async fn check(config: &File, fleet: Option<&File>, more: &[&str]) -> (Option<i32>, String, String) {
+/// Runs `balancer-agent check` and returns its exit code, stdout and stderr.
+async fn check(
+    config: &TempFile,
+    fleet: Option<&TempFile>,
+    arguments: &[&str],
+) -> (Option<i32>, String, String) {
     let mut command = command(&config.0);
-    command.arg("check").args(more);
+    command.arg("check").args(arguments);
     fleet.map(|fleet| command.arg("--fleet").arg(&fleet.0));
-    let Output { status, stdout, stderr } = soon("the end", command.output()).await.expect("output");
-    let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
+    let Output { status, stdout, stderr } =
+        soon("the exit of the agent", command.output()).await.expect("failed to run the agent");
+    let text = |bytes| String::from_utf8(bytes).expect("not UTF-8");
     (status.code(), text(stdout), text(stderr))
 }
 
 #[tokio::test]
-async fn a_check_says_what_a_start_would_do_or_the_one_line_that_is_wrong() {
-    let (good, fleet) = (good(), File::new(FLEET));
-    let (code, said, wrong) = check(&good, Some(&fleet), &[]).await;
-    assert_eq!((code, wrong.as_str()), (Some(0), ""));
+async fn check_prints_what_a_start_would_do_or_one_line_with_the_error() {
+    let (valid, fleet) = (valid_config(), TempFile::new(FLEET_FILE));
+    let (code, stdout, stderr) = check(&valid, Some(&fleet), &[]).await;
+    assert_eq!((code, stderr.as_str()), (Some(0), ""));
     for part in ["agent n0", "discovery at 127.0.0.1:1", "class read", "fleet t,", "region n: a"] {
-        assert!(said.contains(part), "{part}: {said}");
+        assert!(stdout.contains(part), "{part}: {stdout}");
     }
-    assert!(check(&good, None, &[]).await.1.contains("an agent alone"));
+    assert!(check(&valid, None, &[]).await.1.contains("an agent alone"));
 
-    let (bad, none) = (File::new("{"), PathBuf::from("/nowhere/at/all"));
-    let torn = File::new(&FLEET[..FLEET.len() - 4]);
-    for (config, fleet, said) in
-        [(&bad, None, "no configuration"), (&good, Some(&torn), "the last line has no end")]
+    let (invalid, missing_path) = (TempFile::new("{"), PathBuf::from("/nowhere/at/all"));
+    let truncated = TempFile::new(&FLEET_FILE[..FLEET_FILE.len() - 4]);
+    for (config, fleet, message) in
+        [(&invalid, None, "no configuration"), (&valid, Some(&truncated), "the last line has no end")]
     {
-        let (code, out, wrong) = check(config, fleet, &[]).await;
-        assert_eq!((code, out.as_str(), wrong.lines().count()), (Some(2), "", 1), "{wrong}");
-        assert!(wrong.contains(said), "{wrong}");
+        let (code, stdout, stderr) = check(config, fleet, &[]).await;
+        assert_eq!((code, stdout.as_str(), stderr.lines().count()), (Some(2), "", 1), "{stderr}");
+        assert!(stderr.contains(message), "{stderr}");
     }
-    let missing = none.display().to_string();
-    for more in [["--config", &missing], ["--fleet", &missing]] {
-        let (code, _, wrong) = check(&good, None, &more).await;
-        assert!(code == Some(2) && wrong.contains(&missing) && wrong.lines().count() == 1, "{wrong}");
+    let missing = missing_path.display().to_string();
+    for arguments in [["--config", &missing], ["--fleet", &missing]] {
+        let (code, _, stderr) = check(&valid, None, &arguments).await;
+        assert!(code == Some(2) && stderr.contains(&missing) && stderr.lines().count() == 1, "{stderr}");
     }
-    let (code, _, wrong) = check(&good, None, &["--novel"]).await;
-    assert!(code == Some(2) && wrong.contains("--novel"), "{wrong}");
+    let (code, _, stderr) = check(&valid, None, &["--unknown"]).await;
+    assert!(code == Some(2) && stderr.contains("--unknown"), "{stderr}");
 }
 
 #[tokio::test]
-async fn a_bad_fleet_file_ends_the_start_with_file_key_and_value() {
-    let (good, fleet) = (good(), File::new("[fleet]\nname = \"t\"\nlisten = \"nowhere\"\n"));
-    let output =
-        soon("the end", command(&good.0).env("PROXY_FLEET", &fleet.0).output()).await.expect("output");
+async fn start_fails_on_an_invalid_fleet_file_with_path_key_and_value() {
+    let (valid, fleet) = (valid_config(), TempFile::new("[fleet]\nname = \"t\"\nlisten = \"nowhere\"\n"));
+    let output = soon("the exit of the agent", command(&valid.0).env("PROXY_FLEET", &fleet.0).output())
+        .await
+        .expect("failed to run the agent");
     assert_eq!(output.status.code(), Some(2));
-    let wrong = String::from_utf8(output.stderr).expect("UTF-8");
-    let file = fleet.0.display().to_string();
-    assert!(wrong.lines().count() == 1 && wrong.contains(&file), "{wrong}");
-    assert!(wrong.contains("fleet.listen is \"nowhere\""), "{wrong}");
+    let stderr = String::from_utf8(output.stderr).expect("not UTF-8");
+    let path = fleet.0.display().to_string();
+    assert!(stderr.lines().count() == 1 && stderr.contains(&path), "{stderr}");
+    assert!(stderr.contains("fleet.listen is \"nowhere\""), "{stderr}");
 }
 
-/// A file that is being written, two signals at once, and one while the agent ends: what was known stands until the
-/// whole of something new is there, and nobody is left without an answer.
+/// SIGHUP while the file is being written, two signals in quick succession, and one during shutdown: the current values
+/// stay in force until a complete new file is there, and every request gets a response.
 #[tokio::test]
-async fn a_signal_takes_all_of_the_fleet_file_or_nothing() {
-    let word = Arc::new(Notify::new());
-    let given = word.clone();
-    let mut backend = Backend::start(move |_| Reply::When(given.clone(), ok("x"))).await;
+async fn sighup_applies_the_whole_fleet_file_or_nothing() {
+    let reply_signal = Arc::new(Notify::new());
+    let script_signal = reply_signal.clone();
+    let mut backend = Backend::start(move |_| Reply::When(script_signal.clone(), ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
-    let fleet = File::new(FLEET);
+    let fleet = TempFile::new(FLEET_FILE);
     let config = config(directory.address, &[host("s", backend.address, "up")]);
     let mut agent = Agent::start_with(config, |command| {
         command.env("PROXY_FLEET", &fleet.0);
@@ -98,14 +106,14 @@
     .await;
     agent.send_sighup().await;
     agent.wait_for_log("nothing changed").await;
-    fleet.write(&FLEET[..FLEET.len() - 9]);
+    fleet.write(&FLEET_FILE[..FLEET_FILE.len() - 9]);
     agent.send_sighup().await;
     assert!(agent.wait_for_log("is not taken").await.contains("the last line has no end"));
-    fleet.write(&FLEET.replace("name = \"t\"", "name = \"u\""));
+    fleet.write(&FLEET_FILE.replace("name = \"t\"", "name = \"u\""));
     agent.send_sighup().await;
     assert!(agent.wait_for_log("is not taken").await.contains("fleet.name changes from t to u"));
-    // The last of several signals finds the file as it is by then.
-    fleet.write(&FLEET.replace("[\"a\"]", "[\"a\", \"b\"]"));
+    // The last of several signals reads the file as it is by then.
+    fleet.write(&FLEET_FILE.replace("[\"a\"]", "[\"a\", \"b\"]"));
     agent.send_sighup().await;
     agent.send_sighup().await;
     agent.wait_for_log("regions.n to [\"a\", \"b\"]").await;
@@ -115,7 +123,7 @@
     backend.next().await;
     agent.send_sigterm().await;
     agent.send_sighup().await;
-    word.notify_one();
+    reply_signal.notify_one();
     assert_eq!(client.answer().await.status(), 200);
     assert!(agent.wait_for_exit().await.success());
 }
