--- a/agent/tests/terms.rs
+++ b/agent/tests/terms.rs
@@ -62,7 +62,8 @@
     assert!(draining.seen.try_recv().is_err(), "{discovery}: sent to a draining server");
 }
 
-/// Opens connections that carry one request and then stay idle until the agent closes them.
+/// Opens connections that carry one request and then stay idle until the agent closes them. The callers open
+/// more of them than the agent has slots.
 async fn open_idle_connections(agent: &Agent, clients: usize) {
     for _ in 0..clients {
         let mut client = agent.client().await;
