--- a/agent/tests/attempts.rs
+++ b/agent/tests/attempts.rs
@@ -252,7 +252,7 @@
     (directory, agent)
 }
 
-/// Sends a request and waits until the agent has accepted it. Its attempt waits for a connection to the server.
+/// Sends a request and waits until it is open at the agent.
 async fn send_request(agent: &Agent, path: &str) -> Client {
     let mut client = agent.client().await;
     client.send(&request(if path == "/read" { "GET" } else { "POST" }, path, "60000m", "")).await;
--- a/agent/tests/durability.rs
+++ b/agent/tests/durability.rs
@@ -1,4 +1,4 @@
-//! Operator commands that were answered with `done` survive a restart, with a disk that fails or hangs.
+//! Operator commands that were answered with `done` survive a restart, also when the disk fails or hangs at first.
 
 mod common;
 mod faults;
