--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -1,60 +1,60 @@
-//! What ends the adapter: a fault of the input, or of reading and writing.
+//! Errors that end the adapter: invalid input, and failures to read input or write output.
 
 use balancer::SettingsError;
 use std::fmt;
 use std::io;
 use thiserror::Error;
 
-/// Why the adapter ends before its input does.
+/// An error that ends the adapter before the end of its input.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// Standard input cannot be read.
+    /// Reading standard input failed.
     #[error("cannot read the input: {0}")]
     Read(#[source] io::Error),
-    /// A line is not a batch.
+    /// A line does not decode to a batch.
     #[error("{position}: not a batch: {error}")]
     NotABatch {
-        /// Which line.
+        /// The position of the line in the input.
         position: Position,
-        /// What is wrong with it.
+        /// The decoding error.
         #[source]
         error: serde_json::Error,
     },
-    /// A batch makes no sense to its instances.
+    /// A batch has an invalid time or an invalid event.
     #[error("round {round}: {error}")]
     Batch {
-        /// The number of the batch.
+        /// The round number of the batch.
         round: u64,
-        /// What is wrong with it.
+        /// The error in the batch.
         #[source]
         error: BatchError,
     },
-    /// A reply cannot be encoded.
-    #[error("round {round}: {error}")]
+    /// Encoding a reply as JSON failed.
+    #[error("round {round}: cannot encode the reply: {error}")]
     Encode {
-        /// The number of the batch.
+        /// The round number of the batch.
         round: u64,
-        /// Why.
+        /// The encoding error.
         #[source]
         error: serde_json::Error,
     },
-    /// Standard output cannot be written.
+    /// Writing standard output failed.
     #[error("round {round}: cannot write the reply: {error}")]
     Write {
-        /// The number of the batch.
+        /// The round number of the batch.
         round: u64,
-        /// Why.
+        /// The I/O error.
         #[source]
         error: io::Error,
     },
 }
 
-/// Where a line is whose own number cannot be read.
+/// The position of a line that cannot be decoded, relative to the last batch that could be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Position {
-    /// It is the first one.
+    /// The first line of the input.
     FirstRound,
-    /// It follows the batch of this number.
+    /// The line after the batch with this round number.
     After(u64),
 }
 
@@ -67,45 +67,45 @@
     }
 }
 
-/// What is wrong with a batch.
+/// An error in a batch.
 #[derive(Debug, Error)]
 pub enum BatchError {
-    /// Its time is negative or not finite.
+    /// The batch's time, in milliseconds, is negative or not finite.
     #[error("tMs is {0}; a time of zero or more was expected")]
     InvalidTime(f64),
-    /// One of its events is wrong.
-    #[error("instance {instance}: {error}")]
+    /// One of the batch's events is invalid.
+    #[error("instance {instance_id}: {error}")]
     Event {
-        /// The instance of the event.
-        instance: u32,
-        /// What is wrong with it.
+        /// The id of the instance that the event is for.
+        instance_id: u32,
+        /// The error in the event.
         #[source]
         error: EventError,
     },
 }
 
-/// What is wrong with an event.
+/// An error in an event.
 #[derive(Debug, Error)]
 pub enum EventError {
-    /// The instance has no process.
+    /// The instance has no running process.
     #[error("an event came before ATTACH")]
     NotAttached,
-    /// The settings are not usable.
+    /// The settings in ATTACH are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// A list without the number of its catalogue.
+    /// An endpoint list without a catalogue id.
     #[error("REGISTRY names no catalogue")]
     NoCatalogue,
-    /// A list by the number of a catalogue that does not exist.
+    /// An endpoint list with the id of a catalogue that does not exist.
     #[error("REGISTRY names catalogue {0}, which no CATALOG has set up")]
     UnknownCatalogue(u32),
-    /// A request with the name of another one.
+    /// A request whose name is already in use.
     #[error("REQUEST {0} came twice")]
     DuplicateRequest(String),
-    /// A health check of a server that does not exist.
+    /// A health check of a server that no endpoint list has named.
     #[error("PROBED names backend {0}, which no list has named")]
     UnknownServer(String),
-    /// A gossip message that is not in hexadecimal digits.
+    /// A gossip message that is not an even number of hexadecimal digits.
     #[error("MAIL holds {0:?}; an even number of hex digits was expected")]
     MalformedMessage(String),
 }
--- a/adapter/src/hex.rs
+++ b/adapter/src/hex.rs
@@ -1,11 +1,11 @@
-//! Bytes as hexadecimal digits.
+//! Hexadecimal encoding of bytes.
 
-/// Two lower-case digits for each byte.
+/// Encodes bytes as two lower-case digits each.
 pub fn encode(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes of an even number of digits, in either case; `None` for any other text.
+/// Decodes an even number of digits, upper or lower case; `None` for any other text.
 pub fn decode(text: &str) -> Option<Vec<u8>> {
     let digits: Vec<u8> =
         text.chars().map(|c| c.to_digit(16).map(|digit| digit as u8)).collect::<Option<_>>()?;
--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One process of one instance: its balancer, and the names by which the simulator knows what the balancer numbers.
+//! One process of one instance: its balancer, and the mapping between the simulator's names and the balancer's ids.
 
 use crate::error::EventError;
 use crate::hex;
@@ -11,10 +11,10 @@
 };
 use balancer_settings::fnv1a;
 
-/// The receiver of a gossip message that goes to all instances.
-const TO_ALL: i64 = -1;
+/// The recipient of a gossip message to all instances, as the protocol writes it.
+const ALL_INSTANCES: i64 = -1;
 
-/// One process of one instance.
+/// A running process of an instance.
 pub struct Instance {
     balancer: Balancer,
     servers: Servers,
@@ -22,27 +22,27 @@
 }
 
 impl Instance {
-    /// A process that knows no servers and no requests.
+    /// Creates a process without servers and requests; the balancer is not started yet.
     pub fn new(balancer: Balancer) -> Self {
         Instance { balancer, servers: Servers::default(), requests: Requests::default() }
     }
 
-    /// Starts the balancer.
+    /// Starts the balancer, which appends its first actions to `actions`.
     pub fn start(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.balancer.start(now, actions);
     }
 
-    /// Notifies the balancer of an event.
+    /// Passes an event to the balancer, which appends its actions to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.balancer.handle(now, event, actions);
     }
 
-    /// The endpoints of a catalogue, numbered.
+    /// Converts a catalogue to endpoints with this instance's server ids.
     pub fn endpoints(&mut self, catalogue: &[CatalogueServer]) -> Vec<Endpoint> {
         self.servers.endpoints(catalogue)
     }
 
-    /// A request has come.
+    /// Registers a new request and converts it to a balancer event.
     ///
     /// # Errors
     ///
@@ -58,45 +58,47 @@
             tenant: request.tenant.map(TenantId),
             affinity_key: request.affinity_key.as_ref().map(|key| AffinityKey(fnv1a(key))),
             cost_hint: estimate_ms.map(Span::from_ms),
-            is_retry: request.has_flag(ClientRequest::IS_REPEAT),
+            is_retry: request.has_flag(ClientRequest::IS_RETRY),
             time_left: Span::from_ms(request.time_left_ms),
             uploading: false,
         }))
     }
 
-    /// A response has started; no event if its request has ended long ago.
+    /// Converts the start of a response to a balancer event; `None` if the request is unknown or has been dropped.
     pub fn first_byte(&mut self, request: &str, attempt: u32) -> Option<Event> {
         let request = self.requests.get_mut(request)?;
         Some(Event::FirstByte { request: request.id, attempt: AttemptNo(attempt) })
     }
 
-    /// An attempt has ended; no event if its request has ended long ago.
+    /// Records the end of an attempt and converts it to a balancer event; `None` if the request is unknown or has been
+    /// dropped.
     pub fn attempt_ended(&mut self, end: AttemptEnd<'_>) -> Option<Event> {
         let request = self.requests.get_mut(&end.request)?;
         request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
-        request.has_ended |= end.closed;
+        request.has_ended |= end.request_finished;
         Some(Event::Outcome {
             request: request.id,
             attempt: AttemptNo(end.attempt),
             outcome: end.ending.into(),
             elapsed: Span::from_ms(end.elapsed_ms),
             report: end.report,
-            request_finished: end.closed,
+            request_finished: end.request_finished,
         })
     }
 
-    /// A client no longer waits; no event if its request has ended long ago.
+    /// Records that a client has disconnected and converts this to a balancer event; `None` if the request is unknown
+    /// or has been dropped.
     pub fn client_disconnected(&mut self, request: &str) -> Option<Event> {
         let request = self.requests.get_mut(request)?;
         request.has_ended = true;
         Some(Event::ClientDisconnected { request: request.id })
     }
 
-    /// A health check has ended.
+    /// Converts the result of a health check to a balancer event.
     ///
     /// # Errors
     ///
-    /// [`EventError::UnknownServer`] if no list has named its server.
+    /// [`EventError::UnknownServer`] if no endpoint list has named the server.
     pub fn health_checked(&self, end: HealthCheckEnd<'_>) -> Result<Event, EventError> {
         let server =
             self.servers.id(&end.server).ok_or_else(|| EventError::UnknownServer(end.server.into_owned()))?;
@@ -108,17 +110,18 @@
         })
     }
 
-    /// A gossip message has come.
+    /// Decodes a gossip message to a balancer event.
     ///
     /// # Errors
     ///
-    /// [`EventError::MalformedMessage`] if it is not in hexadecimal digits.
+    /// [`EventError::MalformedMessage`] if it is not an even number of hexadecimal digits.
     pub fn gossip(&self, from: u32, payload: &str) -> Result<Event, EventError> {
         let payload = hex::decode(payload).ok_or_else(|| EventError::MalformedMessage(payload.to_owned()))?;
         Ok(Event::Gossip { from: PeerId(from), payload })
     }
 
-    /// An action as it is written. One that names what the simulator does not know is a fault of the balancer.
+    /// Converts an action to its wire form. An action for an unknown request or server is a bug in the balancer and
+    /// becomes a BUG action.
     pub fn encode(&mut self, action: Action) -> WireAction {
         match action {
             Action::Send { request, server, timeout_at } => self.route(request, server, timeout_at),
@@ -126,13 +129,13 @@
                 Some((request, _)) => WireAction::Abandon { request, attempt: attempt.0 },
                 None => unknown_request(),
             },
-            Action::Reject { request, retry_after } => match self.end(request) {
+            Action::Reject { request, retry_after } => match self.mark_ended(request) {
                 Some(request) => {
                     WireAction::OverloadReply { request, retry_after_ms: retry_after.map(Span::as_ms) }
                 }
                 None => unknown_request(),
             },
-            Action::Fail { request } => match self.end(request) {
+            Action::Fail { request } => match self.mark_ended(request) {
                 Some(request) => WireAction::Abort { request },
                 None => unknown_request(),
             },
@@ -146,7 +149,7 @@
                 None => unknown_server(),
             },
             Action::Gossip { to, payload } => {
-                let to = to.map_or(TO_ALL, |peer| i64::from(peer.0));
+                let to = to.map_or(ALL_INSTANCES, |peer| i64::from(peer.0));
                 WireAction::Announce { to, payload: hex::encode(&payload) }
             }
             Action::Watch { active } => WireAction::Follow { active },
@@ -162,14 +165,14 @@
         WireAction::Route { request: name, server, until_ms: timeout_at.as_ms() }
     }
 
-    /// Notes that a request is answered; its name.
-    fn end(&mut self, request: RequestId) -> Option<String> {
+    /// Marks a request as ended and returns its name.
+    fn mark_ended(&mut self, request: RequestId) -> Option<String> {
         let (name, request) = self.requests.by_id(request)?;
         request.has_ended = true;
         Some(name)
     }
 
-    /// Drops the names of requests that no event can name any more.
+    /// Drops ended requests that no further event will name; see [`Requests::drop_ended`].
     pub fn drop_ended_requests(&mut self) {
         self.requests.drop_ended();
     }
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts balancers on the simulator's wire: reads a line of events, writes a line of actions. `deploy/balancer.toml` names
-//! this program as `sim`.
+//! Hosts balancers behind the simulator's line protocol: reads batches of events from standard input, one per line, and
+//! writes a line of actions for each. `deploy/balancer.toml` runs this program as `sim`.
 
 mod error;
 mod hex;
@@ -15,10 +15,10 @@
 use std::process::ExitCode;
 use wire::{Batch, Reply};
 
-/// The exit code after input that is not valid, or that cannot be read or answered.
+/// The exit code if the input is invalid or cannot be read, or if a reply cannot be written.
 const EXIT_FAILURE: u8 = 2;
 
-/// Replies to batches until the input ends.
+/// Reads batches and writes a reply to each until the input ends.
 fn run(input: &mut dyn BufRead, output: &mut dyn Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut line = Vec::new();
@@ -48,7 +48,7 @@
 }
 
 fn main() -> ExitCode {
-    // A panic of the balancer is written as an action; the hook's own lines would only repeat it.
+    // A panic in the balancer is reported as a BUG action; the default hook would print it to standard error as well.
     std::panic::set_hook(Box::new(|_| {}));
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
--- a/adapter/src/requests.rs
+++ b/adapter/src/requests.rs
@@ -1,25 +1,26 @@
-//! The names of an instance's requests, and the numbers by which its balancer knows them.
+//! Maps the simulator's names of an instance's requests to the balancer's ids and back.
 
 use crate::error::EventError;
 use balancer::RequestId;
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Ended requests are dropped once this many requests are known, so that dropping costs little per request.
+/// Ended requests are dropped only while at least this many requests are stored. Each pass scans all of them; the
+/// threshold keeps the cost per request low.
 const MIN_REQUESTS_TO_DROP: usize = 1024;
 
-/// A request that is known by name.
+/// State of a request.
 #[derive(Debug)]
 pub struct Request {
-    /// Its number.
+    /// The balancer's id of the request.
     pub id: RequestId,
-    /// Attempts in flight, whose outcomes will name the request.
+    /// Number of attempts in flight; the simulator will still report their outcomes under the request's name.
     pub attempts_in_flight: u32,
-    /// It is answered, or its client no longer waits.
+    /// The request has been answered, or its client has disconnected.
     pub has_ended: bool,
 }
 
-/// All requests of one instance that an event may still name.
+/// All requests of one instance that an event may still name, and ended ones that have not been dropped yet.
 #[derive(Debug, Default)]
 pub struct Requests {
     by_name: HashMap<Rc<str>, Request>,
@@ -28,7 +29,7 @@
 }
 
 impl Requests {
-    /// Numbers a new request.
+    /// Registers a new request and assigns the next id to it.
     ///
     /// # Errors
     ///
@@ -36,27 +37,28 @@
     pub fn open(&mut self, name: &str) -> Result<RequestId, EventError> {
         let id = RequestId(self.next_id);
         self.next_id += 1;
-        let key: Rc<str> = Rc::from(name);
+        let shared_name: Rc<str> = Rc::from(name);
         let request = Request { id, attempts_in_flight: 0, has_ended: false };
-        if self.by_name.insert(key.clone(), request).is_some() {
+        if self.by_name.insert(shared_name.clone(), request).is_some() {
             return Err(EventError::DuplicateRequest(name.to_owned()));
         }
-        self.names.insert(id, key);
+        self.names.insert(id, shared_name);
         Ok(id)
     }
 
-    /// The request of a name; `None` if it has ended long ago.
+    /// Looks up a request by name; `None` if the name is unknown or the request has been dropped.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut Request> {
         self.by_name.get_mut(name)
     }
 
-    /// The name of a request and its record; `None` if it has ended long ago.
+    /// Looks up a request's name and state by id; `None` if the id is unknown or the request has been dropped.
     pub fn by_id(&mut self, id: RequestId) -> Option<(String, &mut Request)> {
         let name = self.names.get(&id)?;
         Some((name.to_string(), self.by_name.get_mut(name)?))
     }
 
-    /// Drops requests that have ended and have no attempt in flight, once there are enough of them.
+    /// Drops requests that have ended and have no attempt in flight. Does nothing while fewer than
+    /// [`MIN_REQUESTS_TO_DROP`] requests are stored.
     pub fn drop_ended(&mut self) {
         if self.by_name.len() < MIN_REQUESTS_TO_DROP {
             return;
--- a/adapter/src/requests/tests.rs
+++ b/adapter/src/requests/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn opened(count: usize) -> Requests {
+fn with_open_requests(count: usize) -> Requests {
     let mut requests = Requests::default();
     for n in 0..count {
         requests.open(&n.to_string()).expect("a new name");
@@ -9,14 +9,14 @@
 }
 
 #[test]
-fn a_name_that_is_in_use_is_an_error() {
-    let error = opened(1).open("0").expect_err("the same name");
+fn opening_a_request_with_a_name_in_use_fails() {
+    let error = with_open_requests(1).open("0").expect_err("the same name");
     assert_eq!(error.to_string(), "REQUEST 0 came twice");
 }
 
 #[test]
 fn ended_requests_without_attempts_in_flight_are_dropped_and_no_others() {
-    let mut requests = opened(MIN_REQUESTS_TO_DROP);
+    let mut requests = with_open_requests(MIN_REQUESTS_TO_DROP);
     for name in ["0", "1"] {
         requests.get_mut(name).expect("an open request").has_ended = true;
     }
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn few_requests_are_kept_even_if_they_have_ended() {
-    let mut requests = opened(1);
+fn ended_requests_are_kept_while_few_requests_are_stored() {
+    let mut requests = with_open_requests(1);
     requests.get_mut("0").expect("an open request").has_ended = true;
     requests.drop_ended();
     assert!(requests.get_mut("0").is_some());
--- a/adapter/src/servers.rs
+++ b/adapter/src/servers.rs
@@ -1,4 +1,4 @@
-//! The names of an instance's servers, and the numbers by which its balancer knows them.
+//! Maps the simulator's names of an instance's servers to the balancer's ids and back.
 
 use crate::wire::{Entry, EntryStatus};
 use balancer::{CellId, Endpoint, KindId, ServerId, Status, Time, ZoneId};
@@ -6,14 +6,14 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The weight of a server whose entry names none.
+/// The weight of a server whose catalogue entry has none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// A server of a catalogue; all instances that know it share its name.
+/// A server in a catalogue; the string of its name is shared between the instances.
 #[derive(Debug, Clone)]
 pub struct CatalogueServer {
     name: Rc<str>,
-    /// Its entry but for the number, which each instance gives it.
+    /// Everything but the server id, which is a placeholder here; each instance assigns its own.
     endpoint: Endpoint,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// All servers that an instance has known.
+/// All servers that any endpoint list of an instance has named; none is ever removed.
 #[derive(Debug, Default)]
 pub struct Servers {
     ids: HashMap<Rc<str>, ServerId>,
@@ -44,16 +44,17 @@
 }
 
 impl Servers {
-    /// The endpoints of a catalogue, each with the server's number. A number is a hash of the name, so that balancers
-    /// mean the same server by it when they gossip; should two names have the same hash, the later one gets the next
-    /// free number.
+    /// Converts a catalogue to endpoints with server ids. An id is a hash of the server's name, so that balancers
+    /// use the same id for a server when they gossip. If two names have the same hash, the later one gets the next
+    /// free id.
     pub fn endpoints(&mut self, catalogue: &[CatalogueServer]) -> Vec<Endpoint> {
         catalogue
             .iter()
-            .map(|known| Endpoint { server: self.intern(&known.name), ..known.endpoint.clone() })
+            .map(|entry| Endpoint { server: self.intern(&entry.name), ..entry.endpoint.clone() })
             .collect()
     }
 
+    /// Returns the id of a name, and assigns one to a new name.
     fn intern(&mut self, name: &Rc<str>) -> ServerId {
         *self.ids.entry(name.clone()).or_insert_with(|| {
             let mut id = ServerId(fnv1a(name) as u32);
@@ -65,12 +66,12 @@
         })
     }
 
-    /// The number of a server that a list has named.
+    /// The id of a server; `None` if no endpoint list has named it.
     pub fn id(&self, name: &str) -> Option<ServerId> {
         self.ids.get(name).copied()
     }
 
-    /// The name of a server that a list has named.
+    /// The name of a server; `None` if no endpoint list has named it.
     pub fn name(&self, server: ServerId) -> Option<String> {
         self.names.get(&server).map(|name| name.to_string())
     }
--- a/adapter/src/servers/tests.rs
+++ b/adapter/src/servers/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_server_has_the_same_number_in_each_list_and_at_each_instance() {
+fn a_server_has_the_same_id_in_each_list_and_at_each_instance() {
     let mut servers = Servers::default();
     let first = servers.endpoints(&catalogue(&["a", "b"]));
     let second = servers.endpoints(&catalogue(&["b"]));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn names_with_the_same_hash_have_different_numbers() {
+fn names_with_the_same_hash_have_different_ids() {
     let mut servers = Servers::default();
     let endpoints = servers.endpoints(&catalogue(&COLLIDING_NAMES));
     assert_eq!(endpoints[1].server, ServerId(endpoints[0].server.0.wrapping_add(1)));
--- a/adapter/src/tests.rs
+++ b/adapter/src/tests.rs
@@ -1,4 +1,4 @@
-//! Decoding, dispatch and encoding: lines in, lines out.
+//! Tests of the whole adapter through [`run`]: lines of input, and the lines of output that they produce.
 
 use super::run;
 
@@ -12,18 +12,18 @@
     format!(r#"{{"ATTACH":{{"salt":7,"params":{}}}}}"#, PARAMS.replace('\n', " "))
 }
 
-fn catalog(reference: u32, names: &[&str]) -> String {
+fn catalog(catalogue_id: u32, names: &[&str]) -> String {
     let entry = |n: &&str| {
         format!(
             r#"{{"backend":"{n}","campus":0,"classOfHost":0,"cluster":0,"status":"SERVING","units":1,"lastStartMs":null}}"#
         )
     };
     let entries: Vec<String> = names.iter().map(entry).collect();
-    format!(r#"{{"CATALOG":{{"ref":{reference},"membersList":[{}]}}}}"#, entries.join(","))
+    format!(r#"{{"CATALOG":{{"ref":{catalogue_id},"membersList":[{}]}}}}"#, entries.join(","))
 }
 
-fn registry(form: &str, reference: u32) -> String {
-    format!(r#"{{"REGISTRY":{{"form":"{form}","rev":1,"ref":{reference}}}}}"#)
+fn registry(form: &str, catalogue_id: u32) -> String {
+    format!(r#"{{"REGISTRY":{{"form":"{form}","rev":1,"ref":{catalogue_id}}}}}"#)
 }
 
 fn request(ticket: &str) -> String {
@@ -32,13 +32,13 @@
     )
 }
 
-fn batch(round: u32, ms: &str, parts: &[(u32, &[String])]) -> String {
+fn batch(round: u32, now_ms: &str, parts: &[(u32, &[String])]) -> String {
     let part = |(who, inbox): &(u32, &[String])| format!(r#"{{"who":{who},"inbox":[{}]}}"#, inbox.join(","));
     let parts: Vec<String> = parts.iter().map(part).collect();
-    format!("{{\"tMs\":{ms},\"round\":{round},\"parts\":[{}]}}\n", parts.join(","))
+    format!("{{\"tMs\":{now_ms},\"round\":{round},\"parts\":[{}]}}\n", parts.join(","))
 }
 
-fn play(input: &str) -> (Result<(), String>, Vec<serde_json::Value>) {
+fn run_lines(input: &str) -> (Result<(), String>, Vec<serde_json::Value>) {
     let mut output = Vec::new();
     let end = run(&mut input.as_bytes(), &mut output);
     let text = String::from_utf8(output).expect("UTF-8");
@@ -55,7 +55,7 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_no_error() {
-    let (end, replies) = play(&batch(1, "8412.25", &[]));
+    let (end, replies) = run_lines(&batch(1, "8412.25", &[]));
     assert_eq!(end, Ok(()));
     assert_eq!(replies, [serde_json::json!({"round": 1, "parts": []})]);
 }
@@ -68,7 +68,7 @@
         &[(4, &[attach(), catalog(3, &["backend_a"]), registry("Persisted", 3), request("r-1")])],
     );
     let done = r#"{"DONE":{"ticket":"r-1","backend":"backend_a","finished":false,"timeTakenMs":3.001,"ending":"econnrefused","attempt":0,"gauge":[1,2]}}"#;
-    let (end, replies) = play(&(first + &batch(2, "358835699.558", &[(4, &[done.to_string()])])));
+    let (end, replies) = run_lines(&(first + &batch(2, "358835699.558", &[(4, &[done.to_string()])])));
     assert_eq!(end, Ok(()));
     let route = actions(&replies[0], "ROUTE");
     let expected = serde_json::json!({"ticket": "r-1", "backend": "backend_a", "untilMs": 358836336.682});
@@ -76,12 +76,12 @@
     assert_eq!(
         actions(&replies[1], "ROUTE"),
         [&expected],
-        "the one server is tried again, to the same deadline"
+        "the one server is tried again, with the same deadline"
     );
 }
 
 #[test]
-fn a_catalogue_replaces_the_one_of_its_number_within_a_batch() {
+fn a_catalogue_replaces_the_one_with_its_id_within_a_batch() {
     let inbox = [
         attach(),
         catalog(0, &["backend_a"]),
@@ -90,7 +90,7 @@
         registry("Complete", 0),
         request("r-1"),
     ];
-    let (end, replies) = play(&batch(1, "10", &[(0, &inbox)]));
+    let (end, replies) = run_lines(&batch(1, "10", &[(0, &inbox)]));
     assert_eq!(end, Ok(()));
     assert_eq!(actions(&replies[0], "ROUTE")[0]["backend"], "backend_b");
 }
@@ -99,7 +99,7 @@
 fn a_new_process_in_the_same_batch_knows_nothing_of_the_old_one() {
     let start = batch(1, "10", &[(0, &[attach(), catalog(0, &["backend_a"]), registry("Complete", 0)])]);
     let inbox = [request("old"), r#"{"RETIRE":{}}"#.into(), attach(), request("new")];
-    let (end, replies) = play(&(start + &batch(2, "20", &[(0, &inbox)])));
+    let (end, replies) = run_lines(&(start + &batch(2, "20", &[(0, &inbox)])));
     assert_eq!(end, Ok(()));
     assert!(actions(&replies[1], "ROUTE").is_empty(), "neither the old request nor the old list is known");
 }
@@ -117,7 +117,7 @@
         r#"{"FIRST_BYTE":{"ticket":"never","attempt":0,"backend":"backend_a","timeTakenMs":1}}"#.into(),
         r#"{"ELAPSED":{"keyBack":77}}"#.into(),
     ];
-    assert_eq!(play(&batch(1, "10", &[(0, &inbox)])).0, Ok(()));
+    assert_eq!(run_lines(&batch(1, "10", &[(0, &inbox)])).0, Ok(()));
 }
 
 #[test]
@@ -126,15 +126,15 @@
     inbox.extend((0..20_000).map(|i| request(&format!("{i:036}"))));
     let line = batch(1, "10", &[(0, &inbox)]);
     assert!(line.len() > 2_000_000);
-    let (end, replies) = play(&line);
+    let (end, replies) = run_lines(&line);
     assert_eq!(end, Ok(()));
     assert!(!actions(&replies[0], "ROUTE").is_empty());
 }
 
 #[test]
-fn an_error_names_the_round_and_what_is_wrong() {
+fn an_error_names_the_round_and_the_cause() {
     let attached = |inbox: &str| batch(6, "10", &[(0, &[attach(), inbox.to_string()])]);
-    for (line, words) in [
+    for (line, expected_text) in [
         ("{\"tMs\":1\n".to_string(), "the first round: not a batch"),
         (attached(r#"{"SURPRISE":{}}"#), "SURPRISE"),
         (attached(r#"{"ELAPSED":{"keyBack":"x"}}"#), "invalid type"),
@@ -157,17 +157,17 @@
             "round 6: instance 0: settings name no request class",
         ),
     ] {
-        let (end, replies) = play(&line);
-        let error = end.expect_err(words);
-        assert!(error.contains(words), "{error}");
+        let (end, replies) = run_lines(&line);
+        let error = end.expect_err(expected_text);
+        assert!(error.contains(expected_text), "{error}");
         assert!(replies.is_empty());
     }
 }
 
 #[test]
-fn a_line_that_is_no_batch_is_named_by_the_batch_before_it() {
-    let (end, replies) = play(&(batch(5, "1", &[]) + "x\n"));
-    let error = end.expect_err("a line that is no batch");
+fn a_line_that_is_not_a_batch_is_located_by_the_batch_before_it() {
+    let (end, replies) = run_lines(&(batch(5, "1", &[]) + "x\n"));
+    let error = end.expect_err("a line that is not a batch");
     assert!(error.starts_with("the round after 5: not a batch: "), "{error}");
     assert_eq!(replies.len(), 1);
 }
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,16 +1,16 @@
-//! The simulator's lines of JSON, typed. Variants have the names of the protocol; fields have the field's terms, with the
-//! protocol's keys by `serde`. What to do about an event is for [`crate::host`].
+//! Types of the simulator's protocol, one JSON object per line. Variants are named as in the protocol. Fields have
+//! conventional names; `serde` attributes map them to the protocol's keys. [`crate::host`] handles the events.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// One line of input: what has happened to some of the instances by now.
+/// One line of input: events for some of the instances.
 #[derive(Debug, Deserialize)]
 pub struct Batch<'a> {
-    /// The simulator's clock, in milliseconds.
+    /// The current time on the simulator's clock, in milliseconds.
     #[serde(rename = "tMs")]
     pub now_ms: f64,
-    /// The number of the batch, which its reply repeats.
+    /// The number of the batch; the reply has the same number.
     pub round: u64,
     /// The events, grouped by instance.
     #[serde(borrow)]
@@ -20,15 +20,15 @@
 /// The events of one instance, in order.
 #[derive(Debug, Deserialize)]
 pub struct Part<'a> {
-    /// The number of the instance.
+    /// The id of the instance.
     #[serde(rename = "who")]
-    pub instance: u32,
-    /// Its events.
+    pub instance_id: u32,
+    /// The events, in the order in which they are handled.
     #[serde(borrow, rename = "inbox")]
     pub events: Vec<WireEvent<'a>>,
 }
 
-/// An event as it is written.
+/// An event for an instance.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum WireEvent<'a> {
@@ -36,43 +36,43 @@
     Attach(Attach),
     /// The process of the instance ends.
     Retire {},
-    /// A list of servers gets a number, by which REGISTRY names it.
+    /// Defines a list of servers for all instances; REGISTRY refers to it by id.
     #[serde(borrow)]
     Catalog(Catalogue<'a>),
     /// The endpoint list of the instance changes, or a poll of it fails.
     Registry {
-        /// How the list relates to the one before it.
+        /// How the list relates to the previous one.
         form: Form,
-        /// The version of the list; not used, but it must be there.
+        /// The version of the list; unused, but the protocol requires it.
         #[serde(rename = "rev")]
         _version: i64,
-        /// The number of the catalogue; none for an error.
+        /// The id of the catalogue with the entries; not used if the form is `Error`.
         #[serde(default, rename = "ref")]
-        catalogue: Option<u32>,
+        catalogue_id: Option<u32>,
     },
     /// A client has sent a request.
     #[serde(borrow)]
     Request(ClientRequest<'a>),
     /// A streamed response has started.
     FirstByte {
-        /// The request.
+        /// The name of the request.
         #[serde(borrow, rename = "ticket")]
         request: Cow<'a, str>,
-        /// The number of the attempt, from 0.
+        /// The number of the attempt within the request, from 0.
         attempt: u32,
     },
     /// An attempt has ended.
     #[serde(borrow)]
     Done(AttemptEnd<'a>),
-    /// The client no longer waits.
+    /// The client has disconnected.
     Aborted {
-        /// The request.
+        /// The name of the request.
         #[serde(borrow, rename = "ticket")]
         request: Cow<'a, str>,
     },
-    /// A timer is due.
+    /// A timer has expired.
     Elapsed {
-        /// The balancer's number of the timer.
+        /// The balancer's id of the timer.
         #[serde(rename = "keyBack")]
         timer: u64,
     },
@@ -81,33 +81,33 @@
     Probed(HealthCheckEnd<'a>),
     /// Another instance has sent a gossip message.
     Mail {
-        /// The number of that instance.
+        /// The id of the sending instance.
         #[serde(rename = "srcPeer")]
         from: u32,
-        /// The message, in hexadecimal digits.
+        /// The message as hexadecimal digits.
         #[serde(borrow, rename = "raw")]
         payload: Cow<'a, str>,
     },
 }
 
-/// What an instance starts with.
+/// The parameters of a new process.
 #[derive(Debug, Deserialize)]
 pub struct Attach {
-    /// The seed of its random numbers.
+    /// The seed of the balancer's random number generator.
     #[serde(rename = "salt")]
     pub seed: u64,
-    /// Its settings.
+    /// The balancer's settings.
     pub params: Box<balancer_settings::Params>,
 }
 
-/// A numbered list of servers.
+/// A list of servers that REGISTRY events refer to by id.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Catalogue<'a> {
-    /// Its number; a later list of the same number replaces it.
+    /// The id; a later catalogue with the same id replaces this one.
     #[serde(rename = "ref")]
-    pub number: u32,
-    /// The servers.
+    pub id: u32,
+    /// One entry for each server.
     #[serde(borrow, rename = "membersList")]
     pub entries: Vec<Entry<'a>>,
 }
@@ -119,87 +119,87 @@
     /// The name of the request.
     #[serde(borrow, rename = "ticket")]
     pub name: Cow<'a, str>,
-    /// The tenant, by its place in the settings.
+    /// The index of the tenant in the settings; `None` if the request has no tenant.
     #[serde(default, rename = "party")]
     pub tenant: Option<usize>,
-    /// The class, by its place in the settings.
+    /// The index of the request class in the settings.
     #[serde(rename = "cls")]
     pub class: usize,
-    /// The affinity key.
+    /// The affinity key, if the request has one.
     #[serde(borrow, default, rename = "affinity")]
     pub affinity_key: Option<Cow<'a, str>>,
-    /// The client's estimate of the work, in milliseconds; holds if [`ClientRequest::HAS_ESTIMATE`] is set.
+    /// The client's estimate of the work, in milliseconds; ignored unless [`ClientRequest::HAS_ESTIMATE`] is set.
     #[serde(default)]
     pub estimate_ms: Option<f64>,
-    /// Flags; see the constants.
+    /// Bitwise OR of [`ClientRequest::HAS_ESTIMATE`] and [`ClientRequest::IS_RETRY`]; `None` means no flags.
     #[serde(default, rename = "opts")]
     pub flags: Option<u64>,
-    /// The client waits no longer than this.
+    /// How long the client will wait for the response, in milliseconds.
     #[serde(rename = "expiresInMs")]
     pub time_left_ms: f64,
 }
 
 impl ClientRequest<'_> {
-    /// The flag of a request with an estimate of its work.
+    /// Flag: `estimate_ms` is valid.
     pub const HAS_ESTIMATE: u64 = 1;
-    /// The flag of a request that its client repeats.
-    pub const IS_REPEAT: u64 = 2;
+    /// Flag: the request is a retry by the client.
+    pub const IS_RETRY: u64 = 2;
 
-    /// Whether a flag is set.
+    /// Whether `flag` is set.
     pub fn has_flag(&self, flag: u64) -> bool {
         self.flags.unwrap_or(0) & flag != 0
     }
 }
 
-/// The end of an attempt.
+/// The result of an attempt.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct AttemptEnd<'a> {
-    /// The request.
+    /// The name of the request.
     #[serde(borrow, rename = "ticket")]
     pub request: Cow<'a, str>,
-    /// The request is answered and closed as well.
+    /// The request has ended along with the attempt.
     #[serde(rename = "finished")]
-    pub closed: bool,
-    /// How long the attempt took.
+    pub request_finished: bool,
+    /// The duration of the attempt, in milliseconds.
     #[serde(rename = "timeTakenMs")]
     pub elapsed_ms: f64,
-    /// How it ended.
+    /// The outcome.
     pub ending: Ending,
-    /// Its number, from 0.
+    /// The number of the attempt within the request, from 0.
     pub attempt: u32,
-    /// The server's load report.
+    /// The server's load report, if it sent one.
     #[serde(default, rename = "gauge")]
     pub report: Option<Vec<f64>>,
 }
 
-/// The end of a health check.
+/// The result of a health check.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct HealthCheckEnd<'a> {
     /// The name of the server.
     #[serde(borrow, rename = "backend")]
     pub server: Cow<'a, str>,
-    /// How it ended.
+    /// The outcome.
     pub ending: Ending,
-    /// How long it took.
+    /// The duration of the health check, in milliseconds.
     #[serde(rename = "timeTakenMs")]
     pub elapsed_ms: f64,
-    /// The server's load report.
+    /// The server's load report, if it sent one.
     #[serde(default, rename = "gauge")]
     pub report: Option<Vec<f64>>,
 }
 
-/// How an endpoint list relates to the one before it.
+/// How an endpoint list relates to the previous one.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub enum Form {
-    /// Only entries that changed.
+    /// Only the entries that have changed.
     Partial,
     /// All entries.
     Complete,
-    /// All entries as they were stored before a restart; may be stale.
+    /// All entries as stored before a restart; they may be stale.
     Persisted,
-    /// There is no list: the poll or the watch failed.
+    /// No entries: the poll or the watch failed.
     Error,
 }
 
@@ -210,34 +210,34 @@
     /// The name of the server.
     #[serde(borrow, rename = "backend")]
     pub server: Cow<'a, str>,
-    /// The number of its zone.
+    /// The id of the server's zone.
     #[serde(default, rename = "campus")]
     pub zone: u32,
-    /// The number of its kind of machine.
+    /// The id of the server's kind of machine.
     #[serde(default, rename = "classOfHost")]
     pub kind: u32,
-    /// The number of its cell.
+    /// The id of the server's cell.
     #[serde(default, rename = "cluster")]
     pub cell: u32,
-    /// Whether it takes requests.
+    /// Whether the server accepts requests.
     pub status: EntryStatus,
-    /// Its weight.
+    /// The relative weight of the server; `None` means the default.
     #[serde(default, rename = "units")]
     pub weight: Option<f64>,
-    /// When its process started, in milliseconds on the simulator's clock; zero or less is not known.
+    /// When the server's process started, in milliseconds on the simulator's clock; zero or less means unknown.
     #[serde(default, rename = "lastStartMs")]
     pub started_ms: Option<f64>,
 }
 
-/// Whether a server takes requests.
+/// Whether a server accepts requests.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum EntryStatus {
-    /// It does.
+    /// Accepts requests.
     Serving,
-    /// It finishes what it has.
+    /// Finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It is removed.
+    /// Has been removed.
     Deleted,
 }
 
@@ -245,28 +245,28 @@
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ending {
-    /// With a good response.
+    /// A successful response.
     Done,
-    /// With an error of the server.
+    /// An error response from the server.
     Err,
-    /// Rejected unprocessed.
+    /// The server rejected the request without processing it.
     Busy,
-    /// Not in time.
+    /// Timed out.
     Etimedout,
-    /// Without a connection.
+    /// The connection could not be established.
     Econnrefused,
-    /// With a connection that was reset.
+    /// The connection was reset.
     Econnreset,
     /// Cancelled by the balancer.
     Ecanceled,
-    /// It was not sent.
+    /// Not sent.
     Skipped,
 }
 
-/// One line of output.
+/// One line of output: the reply to a batch.
 #[derive(Debug, Serialize)]
 pub struct Reply {
-    /// The number of the batch.
+    /// The round number of the batch.
     pub round: u64,
     /// The actions, grouped by instance; instances without an action are left out.
     pub parts: Vec<ReplyPart>,
@@ -275,19 +275,20 @@
 /// The actions of one instance, in order.
 #[derive(Debug, Serialize)]
 pub struct ReplyPart {
-    /// The number of the instance.
+    /// The id of the instance.
     #[serde(rename = "who")]
-    pub instance: u32,
-    /// Its actions.
+    pub instance_id: u32,
+    /// The actions, in the order in which the balancer issued them.
     #[serde(rename = "outbox")]
     pub actions: Vec<WireAction>,
 }
 
-/// An action as it is written. Times are in milliseconds, on the simulator's clock where they are moments.
+/// An action of a balancer. Times are in milliseconds; `until_ms` and `at_ms` are on the simulator's clock, and
+/// `retry_after_ms` is a duration.
 #[derive(Debug, PartialEq, Serialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE", rename_all_fields = "camelCase")]
 pub enum WireAction {
-    /// Send an attempt to a server, which is given up at `until_ms`.
+    /// Send an attempt to a server; the attempt times out at `until_ms`.
     Route {
         #[serde(rename = "ticket")]
         request: String,
@@ -301,19 +302,19 @@
         request: String,
         attempt: u32,
     },
-    /// Reject a request, with the Retry-After.
+    /// Reject a request because of overload; `retry_after_ms` is the delay for the Retry-After header, if any.
     OverloadReply {
         #[serde(rename = "ticket")]
         request: String,
         #[serde(rename = "notBeforeForMs")]
         retry_after_ms: Option<f64>,
     },
-    /// Fail a request.
+    /// End a request with an error.
     Abort {
         #[serde(rename = "ticket")]
         request: String,
     },
-    /// Send ELAPSED at `at_ms`.
+    /// Set a timer: the simulator sends ELAPSED at `at_ms`.
     Timer {
         at_ms: f64,
         #[serde(rename = "keyBack")]
@@ -329,13 +330,13 @@
         #[serde(rename = "backend")]
         server: String,
     },
-    /// Send a gossip message, in hexadecimal digits, to an instance, or to all if `to` is -1.
+    /// Send a gossip message, as hexadecimal digits, to an instance, or to all instances if `to` is -1.
     Announce {
         to: i64,
         #[serde(rename = "raw")]
         payload: String,
     },
-    /// Start or stop the watch of the endpoint list.
+    /// Start (`active`) or stop watching the endpoint list.
     Follow { active: bool },
     /// Poll the endpoint list.
     Pull {},
@@ -344,7 +345,7 @@
         #[serde(rename = "what")]
         text: String,
     },
-    /// Report a fault of the balancer itself.
+    /// Report a bug in the balancer.
     Bug {
         #[serde(rename = "what")]
         text: String,
