--- a/faults/src/engine.rs
+++ b/faults/src/engine.rs
@@ -1,103 +1,104 @@
-//! Decides which calls meet a fault. It takes no lock and allocates nothing, so that it may also be asked from
-//! a signal handler.
+//! Decides which calls get a fault. Evaluation takes no lock and allocates nothing, so that it is safe in a signal
+//! handler.
 
 use crate::schedule::{Call, Fault, Rule, Schedule};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// What a call is about.
+/// What a call operates on.
 #[derive(Debug, Clone, Copy)]
-pub enum Subject<'a> {
-    /// An internet socket, with its port if it has one.
+pub enum Target<'a> {
+    /// An internet socket; `None` if its port is unknown.
     Socket(Option<u16>),
-    /// Files, by their names.
+    /// Files, by path; `rename` has two.
     Files(&'a [&'a [u8]]),
 }
 
 impl Rule {
-    /// Whether the rule is about such calls at all.
-    fn concerns(&self, call: Call, subject: Subject<'_>, since_start: Duration) -> bool {
-        let named = match (subject, &self.path) {
-            (Subject::Socket(port), None) => self.port.is_none() || self.port == port,
-            (Subject::Files(names), Some(prefix)) => {
-                names.iter().any(|name| name.starts_with(prefix.as_bytes()))
+    /// Whether the call counts towards this rule: its function group, port or path, and time match.
+    fn matches(&self, call: Call, target: Target<'_>, since_start: Duration) -> bool {
+        let target_matches = match (target, &self.path) {
+            (Target::Socket(port), None) => self.port.is_none() || self.port == port,
+            (Target::Files(paths), Some(prefix)) => {
+                paths.iter().any(|path| path.starts_with(prefix.as_bytes()))
             }
             _ => false,
         };
-        named && self.calls.contains(&call) && (self.after..self.until).contains(&since_start)
+        target_matches && self.calls.contains(&call) && (self.after..self.until).contains(&since_start)
     }
 }
 
-/// A rule and how often it was met.
-struct Armed {
+/// A rule with the number of calls that matched it and of faults that it injected.
+struct RuleState {
     rule: Rule,
-    calls: AtomicU64,
-    struck: AtomicU64,
+    matched_calls: AtomicU64,
+    injected: AtomicU64,
 }
 
-impl Armed {
-    /// Counts one more call; whether it meets the fault.
-    fn count(&self, seed: u64) -> bool {
-        let call = self.calls.fetch_add(1, Ordering::Relaxed) + 1;
-        let Some(past) = call.checked_sub(self.rule.from) else { return false };
-        let drawn = draw(seed, past).is_multiple_of(self.rule.one_in);
-        let due = (past + 1).is_multiple_of(self.rule.every);
-        drawn && due && self.struck.fetch_add(1, Ordering::Relaxed) < self.rule.times
+impl RuleState {
+    /// Counts a matching call and returns whether it gets the fault.
+    fn record_call(&self, seed: u64) -> bool {
+        let call = self.matched_calls.fetch_add(1, Ordering::Relaxed) + 1;
+        let Some(eligible_index) = call.checked_sub(self.rule.from) else { return false };
+        let selected = random(seed, eligible_index).is_multiple_of(self.rule.one_in);
+        let periodic = (eligible_index + 1).is_multiple_of(self.rule.every);
+        selected && periodic && self.injected.fetch_add(1, Ordering::Relaxed) < self.rule.times
     }
 }
 
-/// A schedule that is being played.
+/// Evaluates a schedule for the calls of this process.
 pub struct Engine {
     seed: u64,
-    rules: Vec<Armed>,
+    rules: Vec<RuleState>,
     schedule: Schedule,
 }
 
 impl Engine {
-    /// Begins with the first call of each rule.
+    /// Creates an engine with all counters at zero.
     pub fn new(schedule: Schedule) -> Self {
-        let arm = |rule: &Rule| Armed { rule: rule.clone(), calls: 0.into(), struck: 0.into() };
-        Engine { seed: schedule.seed, rules: schedule.rules.iter().map(arm).collect(), schedule }
+        let new_state =
+            |rule: &Rule| RuleState { rule: rule.clone(), matched_calls: 0.into(), injected: 0.into() };
+        Engine { seed: schedule.seed, rules: schedule.rules.iter().map(new_state).collect(), schedule }
     }
 
-    /// Whether any rule is about calls of this group: if not, nobody need find out what the call is about.
-    pub fn concerns(&self, call: Call) -> bool {
-        self.rules.iter().any(|armed| armed.rule.calls.contains(&call))
+    /// Whether any rule applies to this group of calls. If not, the caller need not determine the target.
+    pub fn has_rules_for(&self, call: Call) -> bool {
+        self.rules.iter().any(|state| state.rule.calls.contains(&call))
     }
 
-    /// Whether any rule goes by the names of files.
-    pub fn concerns_files(&self, call: Call) -> bool {
-        self.rules.iter().any(|armed| armed.rule.path.is_some() && armed.rule.calls.contains(&call))
+    /// Whether any rule for this group of calls has a path prefix.
+    pub fn has_path_rules_for(&self, call: Call) -> bool {
+        self.rules.iter().any(|state| state.rule.path.is_some() && state.rule.calls.contains(&call))
     }
 
-    /// Counts a call and says what it meets.
-    pub fn fault(&self, call: Call, subject: Subject<'_>, since_start: Duration) -> Option<Fault> {
+    /// Counts a call in every matching rule and returns the fault of the first rule that applies.
+    pub fn fault(&self, call: Call, target: Target<'_>, since_start: Duration) -> Option<Fault> {
         let mut fault = None;
-        for (index, armed) in self.rules.iter().enumerate() {
-            if !armed.rule.concerns(call, subject, since_start) {
+        for (index, state) in self.rules.iter().enumerate() {
+            if !state.rule.matches(call, target, since_start) {
                 continue;
             }
-            let seed = draw(self.seed, index as u64);
-            if armed.count(seed) && fault.is_none() {
-                fault = Some(armed.rule.fault);
+            let seed = random(self.seed, index as u64);
+            if state.record_call(seed) && fault.is_none() {
+                fault = Some(state.rule.fault);
             }
         }
         fault
     }
 
-    /// By how many milliseconds the wall clock is off at this time.
+    /// The sum of the clock steps up to this time, in milliseconds.
     pub fn clock_shift_ms(&self, since_start: Duration) -> i64 {
         self.schedule.clock.iter().filter(|step| step.at <= since_start).map(|step| step.shift_ms).sum()
     }
 
-    /// Whether the wall clock is ever off.
-    pub fn steps_clock(&self) -> bool {
+    /// Whether the schedule has any clock steps.
+    pub fn has_clock_steps(&self) -> bool {
         !self.schedule.clock.is_empty()
     }
 }
 
-/// The `index`th number of the sequence that `seed` begins (SplitMix64).
-fn draw(seed: u64, index: u64) -> u64 {
+/// The `index`th number, from 0, of the SplitMix64 sequence for `seed`.
+fn random(seed: u64, index: u64) -> u64 {
     const GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
     let mut mixed = seed.wrapping_add(GAMMA.wrapping_mul(index.wrapping_add(1)));
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/faults/src/hooks/clock.rs
+++ b/faults/src/hooks/clock.rs
@@ -22,7 +22,7 @@
 
 /// How far the wall clock is off now, in milliseconds; 0 if nothing is played.
 fn shift_ms() -> i64 {
-    let play = PLAY.get().filter(|play| play.engine.steps_clock());
+    let play = PLAY.get().filter(|play| play.engine.has_clock_steps());
     play.map_or(0, |play| play.engine.clock_shift_ms(play.since_start()))
 }
 
--- a/faults/src/hooks/files.rs
+++ b/faults/src/hooks/files.rs
@@ -1,7 +1,7 @@
 //! Files: how they are opened, synced and renamed.
 
 use super::{fail, playing, real};
-use crate::engine::Subject;
+use crate::engine::Target;
 use crate::schedule::{Call, Fault};
 use libc::{c_char, c_int, mode_t};
 use std::ffi::CStr;
@@ -23,7 +23,7 @@
     }
     // SAFETY: the caller vouches for the names.
     let names = names.map(|name| unsafe { CStr::from_ptr(name) }.to_bytes());
-    failed(play.fault(call, Subject::Files(&names)))
+    failed(play.fault(call, Target::Files(&names)))
 }
 
 fn failed(fault: Option<Fault>) -> bool {
--- a/faults/src/hooks/mod.rs
+++ b/faults/src/hooks/mod.rs
@@ -7,7 +7,7 @@
 mod start;
 mod transfers;
 
-use crate::engine::{Engine, Subject};
+use crate::engine::{Engine, Target};
 use crate::schedule::{Call, Fault};
 use libc::{c_int, c_void, sa_family_t, sockaddr, sockaddr_in, sockaddr_in6, sockaddr_storage, socklen_t};
 use std::mem;
@@ -58,7 +58,7 @@
 
 /// The play, if any of its rules is about such calls.
 fn playing(call: Call) -> Option<&'static Play> {
-    PLAY.get().filter(|play| play.engine.concerns(call))
+    PLAY.get().filter(|play| play.engine.has_rules_for(call))
 }
 
 impl Play {
@@ -66,22 +66,22 @@
         clock::monotonic().saturating_sub(self.start)
     }
 
-    fn fault(&self, call: Call, subject: Subject<'_>) -> Option<Fault> {
-        self.engine.fault(call, subject, self.since_start())
+    fn fault(&self, call: Call, target: Target<'_>) -> Option<Fault> {
+        self.engine.fault(call, target, self.since_start())
     }
 
     /// What a call on this descriptor meets; nothing if it is neither an internet socket nor a file of a rule.
     fn fault_at(&self, call: Call, descriptor: c_int) -> Option<Fault> {
         if is_internet(descriptor) {
             let port = if call == Call::Accept { local_port(descriptor) } else { remote_port(descriptor) };
-            return self.fault(call, Subject::Socket(port));
+            return self.fault(call, Target::Socket(port));
         }
-        if !self.engine.concerns_files(call) {
+        if !self.engine.has_path_rules_for(call) {
             return None;
         }
         let mut name = [0; NAME_MOST];
         let length = name_of(descriptor, &mut name)?;
-        self.fault(call, Subject::Files(&[&name[..length]]))
+        self.fault(call, Target::Files(&[&name[..length]]))
     }
 }
 
--- a/faults/src/hooks/sockets.rs
+++ b/faults/src/hooks/sockets.rs
@@ -1,7 +1,7 @@
 //! Sockets: how they are made, connected and accepted.
 
 use super::{fail, is_internet_family, playing, port_of, real};
-use crate::engine::Subject;
+use crate::engine::Target;
 use crate::schedule::{Call, Fault};
 use libc::{c_int, sockaddr, socklen_t};
 
@@ -59,7 +59,7 @@
         // SAFETY: the caller vouches for the address and its length.
         let port = unsafe { port_of(address, length) };
         // An address without a port is none of the internet.
-        if port.is_some() && fails(play.fault(Call::Connect, Subject::Socket(port))) {
+        if port.is_some() && fails(play.fault(Call::Connect, Target::Socket(port))) {
             return -1;
         }
     }
@@ -73,7 +73,7 @@
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let play = playing(Call::Socket).filter(|_| is_internet_family(domain));
-    if fails(play.and_then(|play| play.fault(Call::Socket, Subject::Socket(None)))) {
+    if fails(play.and_then(|play| play.fault(Call::Socket, Target::Socket(None)))) {
         return -1;
     }
     // SAFETY: it takes no pointers.
--- a/faults/src/schedule/tests.rs
+++ b/faults/src/schedule/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-fn parsed(text: &str) -> Schedule {
-    Schedule::parse(text).expect("a good schedule")
+fn parse(text: &str) -> Schedule {
+    Schedule::parse(text).expect("a valid schedule")
 }
 
-fn refused(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     Schedule::parse(text).expect_err(text).to_string()
 }
 
 #[test]
-fn all_kinds_of_entries_are_read() {
-    let schedule = parsed(
+fn parses_all_kinds_of_entries() {
+    let schedule = parse(
         "seed 7; accept ECONNABORTED one-in=10;; write short=1 from=3 port=80 ;clock +3600s at=2s;
          clock -500ms; open,sync ENOSPC path=/tmp/x every=2 times=4 after=10ms until=5s;",
     );
@@ -28,43 +28,43 @@
 
 #[test]
 fn an_empty_schedule_has_no_faults() {
-    assert_eq!(parsed(""), Schedule::default());
-    assert_eq!(parsed(" ; "), Schedule::default());
+    assert_eq!(parse(""), Schedule::default());
+    assert_eq!(parse(" ; "), Schedule::default());
 }
 
 #[test]
-fn what_cannot_be_read_is_named() {
-    for (text, why) in [
+fn errors_name_the_invalid_entry() {
+    for (text, reason) in [
         ("seed", "expected `seed NUMBER`"),
-        ("seed x", "no whole number"),
+        ("seed x", "not a whole number"),
         ("accept", "expected `seed NUMBER`"),
-        ("listen EMFILE", "no such call: `listen`"),
-        ("accept EWHAT", "no such fault: `EWHAT`"),
+        ("listen EMFILE", "unknown call: `listen`"),
+        ("accept EWHAT", "unknown fault: `EWHAT`"),
         ("accept EMFILE one-in", "expected `NAME=VALUE`"),
-        ("accept EMFILE often=2", "no such condition: `often`"),
+        ("accept EMFILE often=2", "unknown condition: `often`"),
         ("accept EMFILE one-in=0", "from 1 to 1000000"),
         ("accept EMFILE every=1000001", "from 1 to 1000000"),
         ("accept EMFILE from=-1", "from 1 to 1000000"),
-        ("accept EMFILE every=2 every=3", "given twice"),
-        ("accept EMFILE every=2 one-in=3", "exclude each other"),
-        ("accept EMFILE after=2s until=2s", "not past"),
+        ("accept EMFILE every=2 every=3", "duplicate condition"),
+        ("accept EMFILE every=2 one-in=3", "mutually exclusive"),
+        ("accept EMFILE after=2s until=2s", "must be later than"),
         ("accept EMFILE after=86401s", "from 0 to 86400"),
         ("accept EMFILE after=1h", "`ms` or `s`"),
         ("accept EMFILE port=0", "from 1 to 65535"),
-        ("accept EMFILE path=/x", "`path` goes with"),
-        ("socket EMFILE port=80", "`port` goes with"),
-        ("write EIO path=/x port=80", "`port` goes with"),
-        ("open EIO", "need `path`"),
+        ("accept EMFILE path=/x", "`path` is valid with"),
+        ("socket EMFILE port=80", "`port` is valid with"),
+        ("write EIO path=/x port=80", "`port` is valid with"),
+        ("open EIO", "require `path`"),
         ("open EIO path=", "`path` is empty"),
-        ("connect short=1", "`short` goes with"),
+        ("connect short=1", "`short` is valid with"),
         ("read short=0", "from 1 to 1048576"),
-        ("clock 5s", "begins with + or -"),
+        ("clock 5s", "must begin with + or -"),
         ("clock +5s when=2s", "expected `at=TIME`"),
         ("clock +366days", "`ms` or `s`"),
         ("clock +31622401s", "from 0 to 31622400"),
     ] {
-        let said = refused(text);
-        assert!(said.contains(why) && said.contains(&format!("`{text}`")), "{text}: {said}");
+        let message = parse_error(text);
+        assert!(message.contains(reason) && message.contains(&format!("`{text}`")), "{text}: {message}");
     }
-    assert!(refused(&"accept EINTR;".repeat(RULES_MOST + 1)).contains("more than 64 rules"));
+    assert!(parse_error(&"accept EINTR;".repeat(MAX_RULES + 1)).contains("more than 64 rules"));
 }
--- a/faults/tests/preloaded.rs
+++ b/faults/tests/preloaded.rs
@@ -165,5 +165,5 @@
     assert_eq!(output.status.code(), Some(2));
     assert!(output.stdout.is_empty());
     let said = String::from_utf8(output.stderr).expect("text");
-    assert_eq!(said, "SYSCALL_FAULTS cannot be read: `accept EMFILE often=2`: no such condition: `often`\n");
+    assert_eq!(said, "SYSCALL_FAULTS cannot be read: `accept EMFILE often=2`: unknown condition: `often`\n");
 }
