--- a/faults/src/engine.rs
+++ b/faults/src/engine.rs
@@ -28,11 +28,12 @@
     }
 }
 
-/// A rule with the number of calls that matched it and of faults that it injected.
+/// A rule with its counters: the calls that matched it, and those of them that `from`, `every` and `one-in` selected,
+/// including the ones past `times`.
 struct RuleState {
     rule: Rule,
     matched_calls: AtomicU64,
-    injected: AtomicU64,
+    selected_calls: AtomicU64,
 }
 
 impl RuleState {
@@ -42,7 +43,7 @@
         let Some(eligible_index) = call.checked_sub(self.rule.from) else { return false };
         let selected = random(seed, eligible_index).is_multiple_of(self.rule.one_in);
         let periodic = (eligible_index + 1).is_multiple_of(self.rule.every);
-        selected && periodic && self.injected.fetch_add(1, Ordering::Relaxed) < self.rule.times
+        selected && periodic && self.selected_calls.fetch_add(1, Ordering::Relaxed) < self.rule.times
     }
 }
 
@@ -57,7 +58,7 @@
     /// Creates an engine with all counters at zero.
     pub fn new(schedule: Schedule) -> Self {
         let new_state =
-            |rule: &Rule| RuleState { rule: rule.clone(), matched_calls: 0.into(), injected: 0.into() };
+            |rule: &Rule| RuleState { rule: rule.clone(), matched_calls: 0.into(), selected_calls: 0.into() };
         Engine { seed: schedule.seed, rules: schedule.rules.iter().map(new_state).collect(), schedule }
     }
 
@@ -72,7 +73,7 @@
     }
 
     /// Counts a call in every matching rule and returns the fault of the first rule that applies.
-    pub fn fault(&self, call: Call, target: Target<'_>, since_start: Duration) -> Option<Fault> {
+    pub fn next_fault(&self, call: Call, target: Target<'_>, since_start: Duration) -> Option<Fault> {
         let mut fault = None;
         for (index, state) in self.rules.iter().enumerate() {
             if !state.rule.matches(call, target, since_start) {
--- a/faults/src/engine/tests.rs
+++ b/faults/src/engine/tests.rs
@@ -8,7 +8,7 @@
 
 /// The numbers of the calls, counted from 1, that get a fault.
 fn faulty_calls(engine: &Engine, call: Call, calls: u64) -> Vec<u64> {
-    (1..=calls).filter(|_| engine.fault(call, PORT, Duration::ZERO).is_some()).collect()
+    (1..=calls).filter(|_| engine.next_fault(call, PORT, Duration::ZERO).is_some()).collect()
 }
 
 #[test]
@@ -21,11 +21,11 @@
 
 #[test]
 fn one_in_depends_on_the_seed() {
-    let draws =
+    let chosen_calls =
         |seed: u64| faulty_calls(&engine(&format!("seed {seed}; read EINTR one-in=10")), Call::Read, 10_000);
-    assert_eq!(draws(1), draws(1));
-    assert_ne!(draws(1), draws(2));
-    assert!((900..1100).contains(&draws(1).len()), "{}", draws(1).len());
+    assert_eq!(chosen_calls(1), chosen_calls(1));
+    assert_ne!(chosen_calls(1), chosen_calls(2));
+    assert!((900..1100).contains(&chosen_calls(1).len()), "{}", chosen_calls(1).len());
 }
 
 #[test]
@@ -37,7 +37,7 @@
 #[test]
 fn the_first_applicable_rule_wins_and_all_count() {
     let two = engine("read EINTR times=1; read EIO from=2 times=1");
-    let next = || two.fault(Call::Read, PORT, Duration::ZERO);
+    let next = || two.next_fault(Call::Read, PORT, Duration::ZERO);
     assert_eq!(next(), Some(Fault::Error(libc::EINTR)));
     assert_eq!(next(), Some(Fault::Error(libc::EIO)));
     assert_eq!(next(), None);
@@ -46,17 +46,17 @@
 #[test]
 fn ports_paths_and_times_limit_a_rule() {
     let sockets = engine("read EINTR port=80 after=1s until=2s");
-    let at = |target, ms| sockets.fault(Call::Read, target, Duration::from_millis(ms)).is_some();
+    let at = |target, ms| sockets.next_fault(Call::Read, target, Duration::from_millis(ms)).is_some();
     assert!(at(PORT, 1000) && at(PORT, 1999));
     assert!(!at(PORT, 999) && !at(PORT, 2000));
     assert!(!at(Target::Socket(Some(81)), 1500) && !at(Target::Socket(None), 1500));
     assert!(!at(Target::Files(&[b"/x"]), 1500));
 
     let files = engine("rename EIO path=/tmp/x");
-    let at = |names: &[&[u8]]| files.fault(Call::Rename, Target::Files(names), Duration::ZERO).is_some();
+    let at = |names: &[&[u8]]| files.next_fault(Call::Rename, Target::Files(names), Duration::ZERO).is_some();
     assert!(at(&[b"/tmp/xy"]) && at(&[b"/other", b"/tmp/x/y"]));
     assert!(!at(&[b"/tmp"]) && !at(&[]));
-    assert!(files.fault(Call::Rename, PORT, Duration::ZERO).is_none());
+    assert!(files.next_fault(Call::Rename, PORT, Duration::ZERO).is_none());
 }
 
 #[test]
--- a/faults/src/hooks/edges.rs
+++ b/faults/src/hooks/edges.rs
@@ -1,27 +1,29 @@
-//! What epoll instances watch, so that a descriptor gets another edge after a transfer that was cut short.
+//! Records what epoll instances watch, in order to trigger another edge for a descriptor after an injected short
+//! transfer or `EAGAIN`.
 //!
-//! A reader that is told less than it asked for may take the kernel to have no more (epoll(7)), and waits for the next
-//! edge. After a cut transfer the kernel has more and no reason to say so: setting the same events again makes it.
+//! With edge-triggered epoll, a reader that gets less than it requested may conclude that the kernel has no more data
+//! (epoll(7)) and wait for the next edge. After an injected short transfer the kernel has more data but reports no new
+//! edge. Setting the same events again makes it report one.
 
 use super::real;
 use libc::{c_int, epoll_event};
 use std::sync::atomic::{AtomicI32, AtomicU32, AtomicU64, Ordering};
 
-/// Descriptors from this number on are not followed.
-const DESCRIPTORS_MOST: usize = 65_536;
-/// Stands where nothing watches a descriptor.
+/// Descriptors from this number on are not tracked and get no additional edge.
+const MAX_DESCRIPTORS: usize = 65_536;
+/// The value of [`Watch::epoll`] while no epoll instance watches the descriptor.
 const UNWATCHED: c_int = -1;
 
-/// How one descriptor is watched.
+/// The last registration of a descriptor with an epoll instance.
 struct Watch {
     epoll: AtomicI32,
     events: AtomicU32,
     data: AtomicU64,
 }
 
-static WATCHES: [Watch; DESCRIPTORS_MOST] = [const {
+static WATCHES: [Watch; MAX_DESCRIPTORS] = [const {
     Watch { epoll: AtomicI32::new(UNWATCHED), events: AtomicU32::new(0), data: AtomicU64::new(0) }
-}; DESCRIPTORS_MOST];
+}; MAX_DESCRIPTORS];
 
 type EpollCtl = unsafe extern "C" fn(c_int, c_int, c_int, *mut epoll_event) -> c_int;
 
@@ -31,7 +33,7 @@
 
 /// # Safety
 ///
-/// As for the function of the C library.
+/// As for the C library function of the same name.
 #[no_mangle]
 pub unsafe extern "C" fn epoll_ctl(
     epoll: c_int,
@@ -43,19 +45,19 @@
         if operation == libc::EPOLL_CTL_DEL || event.is_null() {
             watch.epoll.store(UNWATCHED, Ordering::Relaxed);
         } else {
-            // SAFETY: the caller vouches for the pointer.
+            // SAFETY: the caller guarantees that the pointer is valid.
             let event = unsafe { event.read_unaligned() };
             watch.events.store(event.events, Ordering::Relaxed);
             watch.data.store(event.u64, Ordering::Relaxed);
             watch.epoll.store(epoll, Ordering::Relaxed);
         }
     }
-    // SAFETY: the caller vouches for the pointer.
+    // SAFETY: the caller guarantees that the pointer is valid.
     unsafe { real!(epoll_ctl: EpollCtl)(epoll, operation, descriptor, event) }
 }
 
-/// Has the kernel say once more what the descriptor is ready for.
-pub fn again(descriptor: c_int) {
+/// Sets the registered events again, so that the kernel reports once more what the descriptor is ready for.
+pub fn rearm(descriptor: c_int) {
     let Some(watch) = watch(descriptor) else { return };
     let epoll = watch.epoll.load(Ordering::Relaxed);
     if epoll == UNWATCHED {
@@ -63,6 +65,7 @@
     }
     let mut event =
         epoll_event { events: watch.events.load(Ordering::Relaxed), u64: watch.data.load(Ordering::Relaxed) };
-    // SAFETY: it points to a value of its type. A descriptor that was closed meanwhile is refused, which does no harm.
+    // SAFETY: the pointer is to a local variable of the right type. For a descriptor that has been
+    // closed since, the call fails without effect.
     unsafe { real!(epoll_ctl: EpollCtl)(epoll, libc::EPOLL_CTL_MOD, descriptor, &raw mut event) };
 }
--- a/faults/src/hooks/files.rs
+++ b/faults/src/hooks/files.rs
@@ -1,6 +1,6 @@
-//! Files: how they are opened, synced and renamed.
+//! Replacements for the functions that open, sync and rename files.
 
-use super::{fail, playing, real};
+use super::{injector_for, real, set_errno};
 use crate::engine::Target;
 use crate::schedule::{Call, Fault};
 use libc::{c_char, c_int, mode_t};
@@ -11,41 +11,42 @@
 type Sync = unsafe extern "C" fn(c_int) -> c_int;
 type Rename = unsafe extern "C" fn(*const c_char, *const c_char) -> c_int;
 
-/// Whether a call on files of these names fails, with its error set.
+/// Whether a call on these paths fails; if so, `errno` is set.
 ///
 /// # Safety
 ///
-/// The names end in a zero byte, or are null.
-unsafe fn fails<const COUNT: usize>(call: Call, names: [*const c_char; COUNT]) -> bool {
-    let Some(play) = playing(call) else { return false };
-    if names.iter().any(|name| name.is_null()) {
+/// Each path is null or ends in a zero byte.
+unsafe fn path_call_fails<const COUNT: usize>(call: Call, paths: [*const c_char; COUNT]) -> bool {
+    let Some(injector) = injector_for(call) else { return false };
+    if paths.iter().any(|path| path.is_null()) {
         return false;
     }
-    // SAFETY: the caller vouches for the names.
-    let names = names.map(|name| unsafe { CStr::from_ptr(name) }.to_bytes());
-    failed(play.fault(call, Target::Files(&names)))
+    // SAFETY: the caller guarantees that the paths are null or end in a zero byte.
+    let paths = paths.map(|path| unsafe { CStr::from_ptr(path) }.to_bytes());
+    inject_error(injector.next_fault(call, Target::Files(&paths)))
 }
 
-fn failed(fault: Option<Fault>) -> bool {
+/// Sets `errno` if the fault is an error, and returns whether it is.
+fn inject_error(fault: Option<Fault>) -> bool {
     let Some(Fault::Error(error)) = fault else { return false };
-    fail(error);
+    set_errno(error);
     true
 }
 
-/// The C library's function takes its mode as a variable argument, which this language cannot define. On the calling
-/// conventions of Linux it comes in the same place; a caller that gives none has the mode ignored.
+/// The C library function is variadic in `mode`, and stable Rust cannot define variadic functions. In the calling
+/// conventions of Linux the argument is passed in the same place; where the caller passes none, `mode` is ignored.
 ///
 /// # Safety
 ///
-/// As for the function of the C library.
+/// As for the C library function of the same name.
 #[no_mangle]
-pub unsafe extern "C" fn open(name: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    // SAFETY: the caller vouches for the name.
+pub unsafe extern "C" fn open(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
+    // SAFETY: the caller guarantees that the path is null or ends in a zero byte.
     unsafe {
-        if fails(Call::Open, [name]) {
+        if path_call_fails(Call::Open, [path]) {
             -1
         } else {
-            real!(open: Open)(name, flags, mode)
+            real!(open: Open)(path, flags, mode)
         }
     }
 }
@@ -54,13 +55,13 @@
 ///
 /// As for [`open`].
 #[no_mangle]
-pub unsafe extern "C" fn open64(name: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    // SAFETY: the caller vouches for the name.
+pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
+    // SAFETY: the caller guarantees that the path is null or ends in a zero byte.
     unsafe {
-        if fails(Call::Open, [name]) {
+        if path_call_fails(Call::Open, [path]) {
             -1
         } else {
-            real!(open64: Open)(name, flags, mode)
+            real!(open64: Open)(path, flags, mode)
         }
     }
 }
@@ -69,13 +70,13 @@
 ///
 /// As for [`open`].
 #[no_mangle]
-pub unsafe extern "C" fn openat(folder: c_int, name: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    // SAFETY: the caller vouches for the name.
+pub unsafe extern "C" fn openat(directory: c_int, path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
+    // SAFETY: the caller guarantees that the path is null or ends in a zero byte.
     unsafe {
-        if fails(Call::Open, [name]) {
+        if path_call_fails(Call::Open, [path]) {
             -1
         } else {
-            real!(openat: Openat)(folder, name, flags, mode)
+            real!(openat: Openat)(directory, path, flags, mode)
         }
     }
 }
@@ -84,49 +85,58 @@
 ///
 /// As for [`open`].
 #[no_mangle]
-pub unsafe extern "C" fn openat64(folder: c_int, name: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    // SAFETY: the caller vouches for the name.
+pub unsafe extern "C" fn openat64(
+    directory: c_int,
+    path: *const c_char,
+    flags: c_int,
+    mode: mode_t,
+) -> c_int {
+    // SAFETY: the caller guarantees that the path is null or ends in a zero byte.
     unsafe {
-        if fails(Call::Open, [name]) {
+        if path_call_fails(Call::Open, [path]) {
             -1
         } else {
-            real!(openat64: Openat)(folder, name, flags, mode)
+            real!(openat64: Openat)(directory, path, flags, mode)
         }
     }
 }
 
 /// # Safety
 ///
-/// As for the function of the C library.
+/// As for the C library function of the same name.
 #[no_mangle]
 pub unsafe extern "C" fn fsync(descriptor: c_int) -> c_int {
-    if failed(playing(Call::Sync).and_then(|play| play.fault_at(Call::Sync, descriptor))) {
+    if inject_error(
+        injector_for(Call::Sync).and_then(|injector| injector.next_descriptor_fault(Call::Sync, descriptor)),
+    ) {
         return -1;
     }
-    // SAFETY: it takes no pointers.
+    // SAFETY: the function takes no pointers.
     unsafe { real!(fsync: Sync)(descriptor) }
 }
 
 /// # Safety
 ///
-/// As for the function of the C library.
+/// As for the C library function of the same name.
 #[no_mangle]
 pub unsafe extern "C" fn fdatasync(descriptor: c_int) -> c_int {
-    if failed(playing(Call::Sync).and_then(|play| play.fault_at(Call::Sync, descriptor))) {
+    if inject_error(
+        injector_for(Call::Sync).and_then(|injector| injector.next_descriptor_fault(Call::Sync, descriptor)),
+    ) {
         return -1;
     }
-    // SAFETY: it takes no pointers.
+    // SAFETY: the function takes no pointers.
     unsafe { real!(fdatasync: Sync)(descriptor) }
 }
 
 /// # Safety
 ///
-/// As for the function of the C library.
+/// As for the C library function of the same name.
 #[no_mangle]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
-    // SAFETY: the caller vouches for the names.
+    // SAFETY: the caller guarantees that the paths are null or end in a zero byte.
     unsafe {
-        if fails(Call::Rename, [from, to]) {
+        if path_call_fails(Call::Rename, [from, to]) {
             -1
         } else {
             real!(rename: Rename)(from, to)
--- a/faults/src/hooks/start.rs
+++ b/faults/src/hooks/start.rs
@@ -1,34 +1,36 @@
-//! Reads the schedule before `main`.
+//! Loads the schedule before `main`.
 
-use super::{clock, Play, PLAY};
+use super::{clock, Injector, INJECTOR};
 use crate::engine::Engine;
 use crate::schedule::Schedule;
 use crate::VARIABLE;
 use std::io::Write;
 
-/// The exit code of a process whose schedule cannot be read.
-const UNREADABLE: libc::c_int = 2;
+/// The exit code of a process with an invalid schedule.
+const INVALID_SCHEDULE_EXIT_CODE: libc::c_int = 2;
 
-/// The loader calls this before `main`.
+/// The dynamic loader calls the functions in `.init_array` before `main`.
 #[used]
 #[link_section = ".init_array"]
-static AT_LOAD: extern "C" fn() = begin;
+static CONSTRUCTOR: extern "C" fn() = load_schedule;
 
-extern "C" fn begin() {
+extern "C" fn load_schedule() {
     let Some(text) = std::env::var_os(VARIABLE) else { return };
     let schedule = match text.to_str() {
-        Some(text) => Schedule::parse(text).map_err(|why| why.to_string()),
+        Some(text) => Schedule::parse(text).map_err(|error| error.to_string()),
         None => Err("not UTF-8".to_owned()),
     };
     match schedule {
-        Ok(schedule) => drop(PLAY.set(Play { engine: Engine::new(schedule), start: clock::monotonic() })),
-        Err(why) => give_up(&why),
+        Ok(schedule) => {
+            drop(INJECTOR.set(Injector { engine: Engine::new(schedule), start: clock::monotonic() }))
+        }
+        Err(reason) => exit_with_error(&reason),
     }
 }
 
-fn give_up(why: &str) {
-    // With standard error closed too, the exit code still tells.
-    let _ = writeln!(std::io::stderr(), "{VARIABLE} cannot be read: {}", why.replace('\n', " "));
-    // SAFETY: ends the process without running anything of a program that has not begun.
-    unsafe { libc::_exit(UNREADABLE) };
+fn exit_with_error(reason: &str) {
+    // If standard error is closed, the exit code still reports the failure.
+    let _ = writeln!(std::io::stderr(), "invalid {VARIABLE}: {}", reason.replace('\n', " "));
+    // SAFETY: `_exit` runs no exit handlers of the program, which is not initialized yet.
+    unsafe { libc::_exit(INVALID_SCHEDULE_EXIT_CODE) };
 }
--- a/faults/src/hooks/transfers.rs
+++ b/faults/src/hooks/transfers.rs
@@ -1,6 +1,6 @@
-//! Reads and writes, on connections and on files.
+//! Replacements for the functions that read and write connections and files.
 
-use super::{edges, fail, playing, real};
+use super::{edges, injector_for, real, set_errno};
 use crate::schedule::{Call, Fault};
 use libc::{c_int, c_void, iovec, msghdr, size_t, sockaddr, socklen_t, ssize_t};
 
@@ -16,126 +16,135 @@
 type Recvmsg = unsafe extern "C" fn(c_int, *mut msghdr, c_int) -> ssize_t;
 type Sendmsg = unsafe extern "C" fn(c_int, *const msghdr, c_int) -> ssize_t;
 
-/// What a transfer of `asked` bytes meets.
-enum Met {
-    Whole,
-    Cut(usize),
-    Failed,
+/// How to carry out a transfer.
+enum TransferPlan {
+    /// Pass the call on unchanged.
+    Full,
+    /// Pass the call on for at most this many bytes, fewer than requested.
+    Short(usize),
+    /// Return -1; `errno` is set.
+    Fail,
 }
 
-fn meet(call: Call, descriptor: c_int, asked: usize) -> Met {
-    match playing(call).and_then(|play| play.fault_at(call, descriptor)) {
+/// Counts a transfer of `requested` bytes and decides how to carry it out.
+fn plan_transfer(call: Call, descriptor: c_int, requested: usize) -> TransferPlan {
+    match injector_for(call).and_then(|injector| injector.next_descriptor_fault(call, descriptor)) {
         Some(Fault::Error(error)) => {
             if error == libc::EAGAIN {
-                edges::again(descriptor);
+                edges::rearm(descriptor);
             }
-            fail(error);
-            Met::Failed
+            set_errno(error);
+            TransferPlan::Fail
         }
-        Some(Fault::Short(most)) if most < asked => Met::Cut(most),
-        _ => Met::Whole,
+        Some(Fault::Short(max_bytes)) if max_bytes < requested => TransferPlan::Short(max_bytes),
+        _ => TransferPlan::Full,
     }
 }
 
-/// Carries out a transfer of one piece as the schedule has it; `transfer` is given the bytes to ask for.
-fn whole_or_cut(
+/// Carries out a transfer with a single buffer; `transfer` gets the number of bytes to request.
+fn transfer_single(
     call: Call,
     descriptor: c_int,
-    asked: usize,
+    requested: usize,
     transfer: impl FnOnce(usize) -> ssize_t,
 ) -> ssize_t {
-    match meet(call, descriptor, asked) {
-        Met::Whole => transfer(asked),
-        Met::Cut(most) => {
-            let moved = transfer(most);
-            if moved > 0 {
-                edges::again(descriptor);
+    match plan_transfer(call, descriptor, requested) {
+        TransferPlan::Full => transfer(requested),
+        TransferPlan::Short(max_bytes) => {
+            let transferred = transfer(max_bytes);
+            if transferred > 0 {
+                edges::rearm(descriptor);
             }
-            moved
+            transferred
         }
-        Met::Failed => -1,
+        TransferPlan::Fail => -1,
     }
 }
 
-/// The pieces of a vectored transfer.
+/// The buffers of a vectored transfer.
 ///
 /// # Safety
 ///
-/// `pieces` points to `count` pieces, or there is none.
-unsafe fn pieces_of<'a>(pieces: *const iovec, count: usize) -> &'a [iovec] {
-    if pieces.is_null() || count == 0 {
+/// `buffers` is null or points to `count` valid buffers.
+unsafe fn buffers_of<'a>(buffers: *const iovec, count: usize) -> &'a [iovec] {
+    if buffers.is_null() || count == 0 {
         return &[];
     }
-    // SAFETY: the caller vouches for it.
-    unsafe { std::slice::from_raw_parts(pieces, count) }
+    // SAFETY: the caller guarantees it.
+    unsafe { std::slice::from_raw_parts(buffers, count) }
 }
 
-fn total(pieces: &[iovec]) -> usize {
-    pieces.iter().map(|piece| piece.iov_len).sum()
+fn total_bytes(buffers: &[iovec]) -> usize {
+    buffers.iter().map(|buffer| buffer.iov_len).sum()
 }
 
-/// The first piece that holds anything, cut to so many bytes; `None` if all is empty.
-fn first_cut(pieces: &[iovec], most: usize) -> Option<iovec> {
-    let first = pieces.iter().find(|piece| piece.iov_len > 0)?;
-    Some(iovec { iov_base: first.iov_base, iov_len: first.iov_len.min(most) })
+/// The first nonempty buffer, shortened to at most `max_bytes` bytes; `None` if all are empty.
+fn first_shortened(buffers: &[iovec], max_bytes: usize) -> Option<iovec> {
+    let first = buffers.iter().find(|buffer| buffer.iov_len > 0)?;
+    Some(iovec { iov_base: first.iov_base, iov_len: first.iov_len.min(max_bytes) })
 }
 
-/// Carries out a vectored transfer as the schedule has it; `transfer` is given other pieces if it is cut.
-fn vectored(
+/// Carries out a vectored transfer; `transfer` gets the single buffer to use instead if the transfer is shortened.
+fn transfer_vectored(
     call: Call,
     descriptor: c_int,
-    pieces: &[iovec],
+    buffers: &[iovec],
     transfer: impl FnOnce(Option<&iovec>) -> ssize_t,
 ) -> ssize_t {
-    match meet(call, descriptor, total(pieces)) {
-        Met::Whole => transfer(None),
-        Met::Cut(most) => {
-            let moved = transfer(first_cut(pieces, most).as_ref());
-            if moved > 0 {
-                edges::again(descriptor);
+    match plan_transfer(call, descriptor, total_bytes(buffers)) {
+        TransferPlan::Full => transfer(None),
+        TransferPlan::Short(max_bytes) => {
+            let transferred = transfer(first_shortened(buffers, max_bytes).as_ref());
+            if transferred > 0 {
+                edges::rearm(descriptor);
             }
-            moved
+            transferred
         }
-        Met::Failed => -1,
+        TransferPlan::Fail => -1,
     }
 }
 
 /// # Safety
 ///
-/// As for the function of the C library.
+/// As for the C library function of the same name.
 #[no_mangle]
-pub unsafe extern "C" fn read(descriptor: c_int, into: *mut c_void, length: size_t) -> ssize_t {
-    // SAFETY: the caller vouches for the pointer, and no more is asked for than it asked for.
-    let transfer = |length| unsafe { real!(read: Read)(descriptor, into, length) };
-    whole_or_cut(Call::Read, descriptor, length, transfer)
+pub unsafe extern "C" fn read(descriptor: c_int, buffer: *mut c_void, length: size_t) -> ssize_t {
+    // SAFETY: the caller guarantees that the buffer is valid, and `length` is at most the caller's.
+    let transfer = |length| unsafe { real!(read: Read)(descriptor, buffer, length) };
+    transfer_single(Call::Read, descriptor, length, transfer)
 }
 
 /// # Safety
 ///
-/// As for the function of the C library.
+/// As for the C library function of the same name.
 #[no_mangle]
 pub unsafe extern "C" fn write(descriptor: c_int, from: *const c_void, length: size_t) -> ssize_t {
-    // SAFETY: the caller vouches for the pointer, and no more is given than it gave.
+    // SAFETY: the caller guarantees that the buffer is valid, and `length` is at most the caller's.
     let transfer = |length| unsafe { real!(write: Write)(descriptor, from, length) };
-    whole_or_cut(Call::Write, descriptor, length, transfer)
+    transfer_single(Call::Write, descriptor, length, transfer)
 }
 
 /// # Safety
 ///
-/// As for the function of the C library.
+/// As for the C library function of the same name.
 #[no_mangle]
-pub unsafe extern "C" fn recv(descriptor: c_int, into: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    // SAFETY: the caller vouches for the pointer, and no more is asked for than it asked for.
-    let transfer = |length| unsafe { real!(recv: Recv)(descriptor, into, length, flags) };
+pub unsafe extern "C" fn recv(
+    descriptor: c_int,
+    buffer: *mut c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
+    // SAFETY: the caller guarantees that the buffer is valid, and `length` is at most the caller's.
+    let transfer = |length| unsafe { real!(recv: Recv)(descriptor, buffer, length, flags) };
     if flags & libc::MSG_PEEK != 0 {
         return transfer(length);
     }
-    whole_or_cut(Call::Read, descriptor, length, transfer)
+    transfer_single(Call::Read, descriptor, length, transfer)
 }
 
 /// # Safety
 ///
-/// As for the function of the C library.
+/// As for the C library function of the same name.
 #[no_mangle]
 pub unsafe extern "C" fn send(
     descriptor: c_int,
@@ -143,36 +152,36 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    // SAFETY: the caller vouches for the pointer, and no more is given than it gave.
+    // SAFETY: the caller guarantees that the buffer is valid, and `length` is at most the caller's.
     let transfer = |length| unsafe { real!(send: Send)(descriptor, from, length, flags) };
-    whole_or_cut(Call::Write, descriptor, length, transfer)
+    transfer_single(Call::Write, descriptor, length, transfer)
 }
 
 /// # Safety
 ///
-/// As for the function of the C library.
+/// As for the C library function of the same name.
 #[no_mangle]
 pub unsafe extern "C" fn recvfrom(
     descriptor: c_int,
-    into: *mut c_void,
+    buffer: *mut c_void,
     length: size_t,
     flags: c_int,
     address: *mut sockaddr,
     address_length: *mut socklen_t,
 ) -> ssize_t {
     let transfer = |length| {
-        // SAFETY: the caller vouches for the pointers, and no more is asked for than it asked for.
-        unsafe { real!(recvfrom: Recvfrom)(descriptor, into, length, flags, address, address_length) }
+        // SAFETY: the caller guarantees that the pointers are valid, and `length` is at most the caller's.
+        unsafe { real!(recvfrom: Recvfrom)(descriptor, buffer, length, flags, address, address_length) }
     };
     if flags & libc::MSG_PEEK != 0 {
         return transfer(length);
     }
-    whole_or_cut(Call::Read, descriptor, length, transfer)
+    transfer_single(Call::Read, descriptor, length, transfer)
 }
 
 /// # Safety
 ///
-/// As for the function of the C library.
+/// As for the C library function of the same name.
 #[no_mangle]
 pub unsafe extern "C" fn sendto(
     descriptor: c_int,
@@ -183,87 +192,90 @@
     address_length: socklen_t,
 ) -> ssize_t {
     let transfer = |length| {
-        // SAFETY: the caller vouches for the pointers, and no more is given than it gave.
+        // SAFETY: the caller guarantees that the pointers are valid, and `length` is at most the caller's.
         unsafe { real!(sendto: Sendto)(descriptor, from, length, flags, address, address_length) }
     };
-    whole_or_cut(Call::Write, descriptor, length, transfer)
+    transfer_single(Call::Write, descriptor, length, transfer)
 }
 
 /// # Safety
 ///
-/// As for the function of the C library.
+/// As for the C library function of the same name.
 #[no_mangle]
-pub unsafe extern "C" fn readv(descriptor: c_int, pieces: *const iovec, count: c_int) -> ssize_t {
-    // SAFETY: the caller vouches for the pieces.
-    let all = unsafe { pieces_of(pieces, usize::try_from(count).unwrap_or(0)) };
-    vectored(Call::Read, descriptor, all, |cut| {
-        let (pieces, count) = cut.map_or((pieces, count), |piece| (std::ptr::from_ref(piece), 1));
-        // SAFETY: the pieces are the caller's, or the begin of one.
-        unsafe { real!(readv: Readv)(descriptor, pieces, count) }
+pub unsafe extern "C" fn readv(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
+    // SAFETY: the caller guarantees that the buffers are valid.
+    let all = unsafe { buffers_of(buffers, usize::try_from(count).unwrap_or(0)) };
+    transfer_vectored(Call::Read, descriptor, all, |shortened_buffer| {
+        let (buffers, count) =
+            shortened_buffer.map_or((buffers, count), |buffer| (std::ptr::from_ref(buffer), 1));
+        // SAFETY: the buffers are the caller's, or the beginning of one of them.
+        unsafe { real!(readv: Readv)(descriptor, buffers, count) }
     })
 }
 
 /// # Safety
 ///
-/// As for the function of the C library.
+/// As for the C library function of the same name.
 #[no_mangle]
-pub unsafe extern "C" fn writev(descriptor: c_int, pieces: *const iovec, count: c_int) -> ssize_t {
-    // SAFETY: the caller vouches for the pieces.
-    let all = unsafe { pieces_of(pieces, usize::try_from(count).unwrap_or(0)) };
-    vectored(Call::Write, descriptor, all, |cut| {
-        let (pieces, count) = cut.map_or((pieces, count), |piece| (std::ptr::from_ref(piece), 1));
-        // SAFETY: the pieces are the caller's, or the begin of one.
-        unsafe { real!(writev: Readv)(descriptor, pieces, count) }
+pub unsafe extern "C" fn writev(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
+    // SAFETY: the caller guarantees that the buffers are valid.
+    let all = unsafe { buffers_of(buffers, usize::try_from(count).unwrap_or(0)) };
+    transfer_vectored(Call::Write, descriptor, all, |shortened_buffer| {
+        let (buffers, count) =
+            shortened_buffer.map_or((buffers, count), |buffer| (std::ptr::from_ref(buffer), 1));
+        // SAFETY: the buffers are the caller's, or the beginning of one of them.
+        unsafe { real!(writev: Readv)(descriptor, buffers, count) }
     })
 }
 
-/// The same message with other pieces.
-fn with_piece(message: &msghdr, piece: &iovec) -> msghdr {
-    msghdr { msg_iov: std::ptr::from_ref(piece).cast_mut(), msg_iovlen: 1, ..*message }
+/// A copy of the message with a single buffer.
+fn with_buffer(message: &msghdr, buffer: &iovec) -> msghdr {
+    msghdr { msg_iov: std::ptr::from_ref(buffer).cast_mut(), msg_iovlen: 1, ..*message }
 }
 
 /// # Safety
 ///
-/// As for the function of the C library.
+/// As for the C library function of the same name.
 #[no_mangle]
 pub unsafe extern "C" fn recvmsg(descriptor: c_int, message: *mut msghdr, flags: c_int) -> ssize_t {
-    // SAFETY: the caller vouches for the pointer.
-    let whole = || unsafe { real!(recvmsg: Recvmsg)(descriptor, message, flags) };
+    // SAFETY: the caller guarantees that the pointer is valid.
+    let pass_on = || unsafe { real!(recvmsg: Recvmsg)(descriptor, message, flags) };
     if message.is_null() || flags & libc::MSG_PEEK != 0 {
-        return whole();
+        return pass_on();
     }
-    // SAFETY: the caller vouches for the message and its pieces.
-    let all = unsafe { pieces_of((*message).msg_iov, (*message).msg_iovlen) };
-    vectored(Call::Read, descriptor, all, |cut| {
-        let Some(piece) = cut else { return whole() };
+    // SAFETY: the caller guarantees that the message and its buffers are valid.
+    let all = unsafe { buffers_of((*message).msg_iov, (*message).msg_iovlen) };
+    transfer_vectored(Call::Read, descriptor, all, |shortened_buffer| {
+        let Some(buffer) = shortened_buffer else { return pass_on() };
         // SAFETY: as above.
-        let (own, count) = unsafe { ((*message).msg_iov, (*message).msg_iovlen) };
-        // SAFETY: the message has one piece for the call, the begin of one of its own, and its own again after it.
+        let (original, count) = unsafe { ((*message).msg_iov, (*message).msg_iovlen) };
+        // SAFETY: for the call, the message has a single buffer, the beginning of one of its own; its own buffers are
+        // restored afterwards.
         unsafe {
-            *message = with_piece(&*message, piece);
-            let moved = whole();
-            (*message).msg_iov = own;
+            *message = with_buffer(&*message, buffer);
+            let transferred = pass_on();
+            (*message).msg_iov = original;
             (*message).msg_iovlen = count;
-            moved
+            transferred
         }
     })
 }
 
 /// # Safety
 ///
-/// As for the function of the C library.
+/// As for the C library function of the same name.
 #[no_mangle]
 pub unsafe extern "C" fn sendmsg(descriptor: c_int, message: *const msghdr, flags: c_int) -> ssize_t {
     if message.is_null() {
-        // SAFETY: the C library answers for a null pointer as it does.
+        // SAFETY: the null pointer is passed on unchanged, as without this library.
         return unsafe { real!(sendmsg: Sendmsg)(descriptor, message, flags) };
     }
-    // SAFETY: the caller vouches for the message and its pieces.
-    let (given, all) = unsafe { (&*message, pieces_of((*message).msg_iov, (*message).msg_iovlen)) };
-    vectored(Call::Write, descriptor, all, |cut| {
-        let other = cut.map(|piece| with_piece(given, piece));
-        let message = other.as_ref().map_or(message, std::ptr::from_ref);
-        // SAFETY: the message is the caller's, or the same with the begin of one of its pieces.
+    // SAFETY: the caller guarantees that the message and its buffers are valid.
+    let (original, all) = unsafe { (&*message, buffers_of((*message).msg_iov, (*message).msg_iovlen)) };
+    transfer_vectored(Call::Write, descriptor, all, |shortened_buffer| {
+        let shortened = shortened_buffer.map(|buffer| with_buffer(original, buffer));
+        let message = shortened.as_ref().map_or(message, std::ptr::from_ref);
+        // SAFETY: the message is the caller's, or a copy with the beginning of one of its buffers.
         unsafe { real!(sendmsg: Sendmsg)(descriptor, message, flags) }
     })
 }
--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -1,60 +1,62 @@
 //! Fault injection for real processes: a shared library that is preloaded (`LD_PRELOAD`) in tests and makes system
-//! calls fail, come back short or tell another time, by a schedule in the environment variable `SYSCALL_FAULTS`.
+//! calls fail, transfer fewer bytes than requested or return a shifted time, as scheduled by the environment variable
+//! `SYSCALL_FAULTS`.
 //!
-//! Without the variable, or where it is empty, every call is passed on unchanged. Child processes inherit both variables
-//! unless their environment is cleared.
+//! If the variable is unset or empty, every call is passed on unchanged. Child processes inherit `LD_PRELOAD` and
+//! `SYSCALL_FAULTS` unless their environment is cleared.
 //!
 //! # The schedule
 //!
-//! Entries are separated by `;`, the words of an entry by spaces. Space around entries, and empty entries, mean nothing.
+//! Entries are separated by `;`, the words of an entry by spaces. Whitespace around entries and empty entries are
+//! ignored.
 //!
 //! | entry                          | meaning                                                                    |
 //! |--------------------------------|----------------------------------------------------------------------------|
-//! | `seed NUMBER`                  | where the draws of `one-in` begin; 0 if not given                           |
-//! | `clock SHIFT [at=TIME]`        | moves the wall clock by so much, from `at` on (0 if not given); steps add up |
-//! | `CALLS FAULT [CONDITION]...`   | a rule: these calls meet this fault whenever all conditions hold            |
+//! | `seed NUMBER`                  | the seed for `one-in`; the default is 0                                    |
+//! | `clock SHIFT [at=TIME]`        | shifts the wall clock from `at` on (default 0); shifts add up              |
+//! | `CALLS FAULT [CONDITION]...`   | a rule: these calls get this fault while all conditions hold               |
 //!
-//! `CALLS` is one or several of these, separated by commas:
+//! `CALLS` is one or more of these, separated by commas:
 //!
-//! | call      | functions                                           | concerns                                 |
+//! | call      | functions                                           | applies to                               |
 //! |-----------|-----------------------------------------------------|------------------------------------------|
 //! | `accept`  | `accept`, `accept4`                                 | internet sockets                         |
 //! | `connect` | `connect`                                           | internet addresses                       |
 //! | `socket`  | `socket`                                            | internet sockets                         |
 //! | `read`    | `read`, `readv`, `recv`, `recvfrom`, `recvmsg`      | internet sockets; files with `path=`     |
 //! | `write`   | `write`, `writev`, `send`, `sendto`, `sendmsg`      | internet sockets; files with `path=`     |
-//! | `open`    | `open`, `open64`, `openat`, `openat64`              | files; needs `path=`                     |
-//! | `sync`    | `fsync`, `fdatasync`                                | files; needs `path=`                     |
-//! | `rename`  | `rename`                                            | files; needs `path=`                     |
+//! | `open`    | `open`, `open64`, `openat`, `openat64`              | files; requires `path=`                  |
+//! | `sync`    | `fsync`, `fdatasync`                                | files; requires `path=`                  |
+//! | `rename`  | `rename`                                            | files; requires `path=`                  |
 //!
-//! Reads that only peek are passed on, and so is all that concerns other descriptors: the wakers, pipes and Unix sockets of
-//! a runtime never fail the way connections do.
+//! Reads with `MSG_PEEK` and calls on other descriptors are passed on unchanged: the wakers, pipes and Unix sockets of
+//! an async runtime do not fail the way connections do.
 //!
-//! `FAULT` is the name of an error (`ECONNABORTED`, see [`errno`]), with which the call fails and does nothing else, or
-//! `short=BYTES` (1 to 1048576; only for `read` and `write`), which passes on a call for at most so many bytes. A descriptor
-//! that an epoll instance watches by edges gets another edge after a short transfer and after `EAGAIN`, as it would
-//! get one from the kernel when there is more to transfer.
+//! `FAULT` is the name of an error (`ECONNABORTED`, see [`errno`]), with which the call fails without any other effect,
+//! or `short=BYTES` (1 to 1048576; only for `read` and `write`), which passes the call on for at most this many bytes. A
+//! descriptor that an epoll instance watches edge-triggered gets another edge after an injected short transfer or
+//! `EAGAIN`, as the kernel would report one when there is more to transfer.
 //!
 //! A `CONDITION` limits a rule:
 //!
-//! | condition      | the fault strikes                                                                      |
+//! | condition      | the fault applies                                                                      |
 //! |----------------|----------------------------------------------------------------------------------------|
-//! | `one-in=N`     | at one in `N` calls on average (1 to 1000000), drawn from the seed                      |
-//! | `every=N`      | at every `N`th call (1 to 1000000)                                                      |
+//! | `one-in=N`     | to one in `N` calls on average (1 to 1000000), chosen by a generator with the seed     |
+//! | `every=N`      | to every `N`th call (1 to 1000000)                                                      |
 //! | `from=N`       | from the `N`th call on, counted from 1                                                  |
 //! | `times=N`      | at most `N` times                                                                       |
 //! | `after=TIME`   | from this time after the start of the process on                                       |
 //! | `until=TIME`   | before this time after the start of the process                                        |
-//! | `port=N`       | at a listener on this port (`accept`), or connections to this remote port (`connect`, `read`, `write`) |
-//! | `path=PREFIX`  | at files whose name begins so: the name as given (`open`, `rename`: either name), or as the kernel shows the descriptor (`read`, `write`, `sync`; a pipe shows as `pipe:[...]`) |
+//! | `port=N`       | to a listener on this port (`accept`), or to connections to this remote port (`connect`, `read`, `write`) |
+//! | `path=PREFIX`  | to files whose path begins with `PREFIX`: the path as passed (`open`; `rename`: either path), or as `/proc/self/fd` shows the descriptor (`read`, `write`, `sync`; a pipe shows as `pipe:[...]`) |
 //!
-//! A rule counts the calls that it concerns by port and path, within `after` and `until`; `from` counts in these, and
-//! `every` and `one-in` go by the calls from there on. The first rule that strikes decides, but every rule counts every
-//! call. With one thread the same calls meet the same faults under the same seed.
+//! A rule counts the calls of its groups that match its port and path, from `after` until `until`. `from` refers to this
+//! count; `every` and `one-in` are evaluated on the calls from there on. The first rule that applies determines the fault, but
+//! every matching rule counts the call. With a single thread, the same calls get the same faults with the same seed.
 //!
-//! A `TIME` is a whole number and `ms` or `s`, at most a day. A `SHIFT` is `+` or `-` and a whole number and `ms` or `s`, at
-//! most 366 days. The wall clock is what `clock_gettime` tells for `CLOCK_REALTIME` and `CLOCK_REALTIME_COARSE`, and what
-//! `gettimeofday` and `time` tell; all other clocks are left alone.
+//! A `TIME` is a whole number followed by `ms` or `s`, at most one day. A `SHIFT` is `+` or `-` followed by a whole number
+//! and `ms` or `s`, at most 366 days. The wall clock is the time that `clock_gettime` returns for `CLOCK_REALTIME` and
+//! `CLOCK_REALTIME_COARSE`, and that `gettimeofday` and `time` return; all other clocks are unaffected.
 //!
 //! ```text
 //! SYSCALL_FAULTS="seed 7; accept ECONNABORTED one-in=10; write short=1 from=3; clock +3600s at=2s;
@@ -63,8 +65,8 @@
 //!
 //! # Errors
 //!
-//! A schedule that cannot be read ends the process before its `main`, with one line on standard error and exit code 2: a
-//! test whose faults silently never come would prove nothing.
+//! An invalid schedule terminates the process before its `main`, with one line on standard error and exit code 2. If it
+//! were ignored, a test could pass without any injected fault.
 
 pub mod engine;
 pub mod errno;
--- a/faults/src/schedule/tests.rs
+++ b/faults/src/schedule/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn parse(text: &str) -> Schedule {
+fn parse_valid(text: &str) -> Schedule {
     Schedule::parse(text).expect("a valid schedule")
 }
 
@@ -10,7 +10,7 @@
 
 #[test]
 fn parses_all_kinds_of_entries() {
-    let schedule = parse(
+    let schedule = parse_valid(
         "seed 7; accept ECONNABORTED one-in=10;; write short=1 from=3 port=80 ;clock +3600s at=2s;
          clock -500ms; open,sync ENOSPC path=/tmp/x every=2 times=4 after=10ms until=5s;",
     );
@@ -28,8 +28,8 @@
 
 #[test]
 fn an_empty_schedule_has_no_faults() {
-    assert_eq!(parse(""), Schedule::default());
-    assert_eq!(parse(" ; "), Schedule::default());
+    assert_eq!(parse_valid(""), Schedule::default());
+    assert_eq!(parse_valid(" ; "), Schedule::default());
 }
 
 #[test]
