--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -33,8 +33,8 @@
 //! an async runtime do not fail the way connections do.
 //!
 //! `FAULT` is the name of an error (`ECONNABORTED`, see [`errno`]), with which the call fails without any other effect,
-//! or `short=BYTES` (1 to 1048576; only for `read` and `write`), which passes the call on for at most this many bytes. A
-//! descriptor that an epoll instance watches edge-triggered gets another edge after an injected short transfer or
+//! or `short=BYTES` (1 to 1048576; only for `read` and `write`), which passes the call on for at most this many bytes.
+//! A descriptor that an epoll instance watches edge-triggered gets another edge after an injected short transfer or
 //! `EAGAIN`, as the kernel would report one when there is more to transfer.
 //!
 //! A `CONDITION` limits a rule:
@@ -50,12 +50,14 @@
 //! | `port=N`       | to a listener on this port (`accept`), or to connections to this remote port (`connect`, `read`, `write`) |
 //! | `path=PREFIX`  | to files whose path begins with `PREFIX`: the path as passed (`open`; `rename`: either path), or as `/proc/self/fd` shows the descriptor (`read`, `write`, `sync`; a pipe shows as `pipe:[...]`) |
 //!
-//! A rule counts the calls of its groups that match its port and path, from `after` until `until`. `from` refers to this
-//! count; `every` and `one-in` are evaluated on the calls from there on. The first rule that applies determines the fault, but
-//! every matching rule counts the call. With a single thread, the same calls get the same faults with the same seed.
+//! A rule counts the calls of its groups that match its port and path, from `after` until `until`. `from` refers to
+//! this count; `every` and `one-in` are evaluated on the calls from there on. The first rule that applies determines
+//! the fault, but every matching rule counts the call. With a single thread, the same calls get the same faults with
+//! the same seed.
 //!
-//! A `TIME` is a whole number followed by `ms` or `s`, at most one day. A `SHIFT` is `+` or `-` followed by a whole number
-//! and `ms` or `s`, at most 366 days. The wall clock is the time that `clock_gettime` returns for `CLOCK_REALTIME` and
+//! A `TIME` is a whole number followed by `ms` or `s`, at most one day. A `SHIFT` is `+` or `-` followed by a whole
+//! number and `ms` or `s`, at most 366 days. The wall clock is the time that `clock_gettime` returns for
+//! `CLOCK_REALTIME` and
 //! `CLOCK_REALTIME_COARSE`, and that `gettimeofday` and `time` return; all other clocks are unaffected.
 //!
 //! ```text
