--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -57,8 +57,8 @@
 //!
 //! A `TIME` is a whole number followed by `ms` or `s`, at most one day. A `SHIFT` is `+` or `-` followed by a whole
 //! number and `ms` or `s`, at most 366 days. The wall clock is the time that `clock_gettime` returns for
-//! `CLOCK_REALTIME` and
-//! `CLOCK_REALTIME_COARSE`, and that `gettimeofday` and `time` return; all other clocks are unaffected.
+//! `CLOCK_REALTIME` and `CLOCK_REALTIME_COARSE`, and that `gettimeofday` and `time` return; all other clocks are
+//! unaffected.
 //!
 //! ```text
 //! SYSCALL_FAULTS="seed 7; accept ECONNABORTED one-in=10; write short=1 from=3; clock +3600s at=2s;
