--- a/control/src/agent_file.rs
+++ b/control/src/agent_file.rs
@@ -1,30 +1,30 @@
-//! The agents to call, and the file that names them.
+//! The agents to call, and the agent file that lists them.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Agents in one file at most; `docs/CAPACITY.md` plans for fewer.
+/// Upper bound on the agents in one file; `docs/CAPACITY.md` plans for fewer.
 const MAX_AGENTS: usize = 10_000;
 
-/// One agent.
+/// An agent as the command line or the agent file lists it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Agent {
-    /// Its name in the output; its address if it has no other name.
+    /// The name shown in the output; the address if no name was given.
     pub name: String,
-    /// The address of its admin API.
+    /// The address of the agent's admin API.
     pub address: SocketAddr,
 }
 
 impl Agent {
-    /// An agent without a name of its own.
+    /// An agent that is shown by its address.
     pub fn unnamed(address: SocketAddr) -> Self {
         Agent { name: address.to_string(), address }
     }
 }
 
-/// An agent file that is not valid: which, and what is wrong with it.
+/// An agent file that cannot be read or is not valid, with the problem.
 #[derive(Debug, Error)]
 #[error("{}: {problem}", file.display())]
 pub struct AgentFileError {
@@ -38,34 +38,35 @@
 enum AgentFileProblem {
     #[error("{0}")]
     Read(#[from] std::io::Error),
-    #[error("it names no agent")]
+    #[error("the file names no agents")]
     Empty,
-    #[error("{0} agents; at most {MAX_AGENTS} are asked")]
+    #[error("{0} agents: at most {MAX_AGENTS} are allowed")]
     TooMany(usize),
-    #[error("two agents are called {0}")]
+    #[error("two agents have the name {0}")]
     DuplicateName(String),
-    #[error("two agents are at {0}")]
+    #[error("two agents have the address {0}")]
     DuplicateAddress(SocketAddr),
-    #[error("line {number}: {line:.80?}; NAME ADDRESS was expected")]
+    #[error("line {number}: {line:.80?}: expected ADDRESS or NAME ADDRESS")]
     MalformedLine { number: usize, line: String },
-    #[error("line {number}: {address:.80?} is no address such as 127.0.0.1:19000")]
+    #[error("line {number}: {address:.80?} is not an address such as 127.0.0.1:19000")]
     MalformedAddress { number: usize, address: String },
     #[error("{}", .0.message().replace('\n', " "))]
     Toml(#[from] toml::de::Error),
-    #[error("{0} has no meaning; a section [agents] was expected")]
+    #[error("unknown key {0}: expected a section [agents]")]
     UnknownKey(String),
-    #[error("a section [agents] was expected")]
+    #[error("expected a section [agents]")]
     NoSection,
-    #[error("agents.{name} is {value:.80}; an address such as \"127.0.0.1:19000\" was expected")]
+    #[error("agents.{name} is {value:.80}: expected an address such as \"127.0.0.1:19000\"")]
     MalformedValue { name: String, value: toml::Value },
 }
 
-/// Reads agents from a file: one a line, `ADDRESS` or `NAME ADDRESS`, with `#` before comments; or TOML, `NAME =
-/// "ADDRESS"` under `[agents]`. The first line that is neither blank nor a comment tells which of the two it is.
+/// Reads agents from a file in one of two formats: one agent per line, `ADDRESS` or `NAME ADDRESS`, where `#` begins a
+/// comment; or TOML, `NAME = "ADDRESS"` under `[agents]`. The first line that is neither blank nor a comment decides
+/// which format is used.
 ///
 /// # Errors
 ///
-/// The file cannot be read, is in neither form, names no agent or more than [`MAX_AGENTS`], or has a name or an
+/// The file cannot be read, is in neither format, names no agents or more than [`MAX_AGENTS`], or contains a name or an
 /// address twice.
 pub fn read(file: &Path) -> Result<Vec<Agent>, AgentFileError> {
     read_agents(file).map_err(|problem| AgentFileError { file: file.to_owned(), problem })
@@ -74,7 +75,7 @@
 fn read_agents(file: &Path) -> Result<Vec<Agent>, AgentFileProblem> {
     let text = std::fs::read_to_string(file)?;
     let agents = if is_toml(&text) { parse_toml(&text)? } else { parse_lines(&text)? };
-    check(&agents)?;
+    check_agents(&agents)?;
     Ok(agents)
 }
 
@@ -84,7 +85,7 @@
     first.is_some_and(|line| line.starts_with('[') || line.contains('='))
 }
 
-fn check(agents: &[Agent]) -> Result<(), AgentFileProblem> {
+fn check_agents(agents: &[Agent]) -> Result<(), AgentFileProblem> {
     if agents.is_empty() {
         return Err(AgentFileProblem::Empty);
     }
--- a/control/src/agent_file/tests.rs
+++ b/control/src/agent_file/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn an_error_names_the_place_and_what_was_expected() {
+fn an_error_names_the_line_or_key_and_what_was_expected() {
     for (text, expected) in
         [("n0 here\n", "line 1: \"here\""), ("\na b c\n", "line 2"), ("127.0.0.1\n", "line 1")]
     {
@@ -19,7 +19,7 @@
     }
     for (text, expected) in [
         ("[agents]\nn0 = 7\n", "agents.n0 is 7"),
-        ("[agent]\n", "agent has no meaning"),
+        ("[agent]\n", "unknown key agent: expected a section [agents]"),
         ("[agents\n", ""),
         ("agents = 3\n", "a section [agents]"),
     ] {
@@ -29,10 +29,10 @@
 }
 
 #[test]
-fn a_file_without_agents_or_with_one_twice_is_rejected() {
-    let problem_of = |text| check(&parse_lines(text).expect("agents")).expect_err(text).to_string();
-    assert!(problem_of("a 127.0.0.1:1\na 127.0.0.1:2\n").contains("two agents are called a"));
-    assert!(problem_of("a 127.0.0.1:1\nb 127.0.0.1:1\n").contains("two agents are at"));
+fn a_file_without_agents_or_with_a_duplicate_is_rejected() {
+    let problem_of = |text| check_agents(&parse_lines(text).expect("agents")).expect_err(text).to_string();
+    assert!(problem_of("a 127.0.0.1:1\na 127.0.0.1:2\n").contains("two agents have the name a"));
+    assert!(problem_of("a 127.0.0.1:1\nb 127.0.0.1:1\n").contains("two agents have the address 127.0.0.1:1"));
     assert!(problem_of("# none\n").contains("names no agent"));
 }
 
@@ -40,8 +40,8 @@
 fn a_file_with_too_many_agents_is_rejected() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let agents = vec![Agent::unnamed(address); MAX_AGENTS + 1];
-    let problem = check(&agents).expect_err("more than the bound").to_string();
-    assert_eq!(problem, "10001 agents; at most 10000 are asked");
+    let problem = check_agents(&agents).expect_err("more than the limit").to_string();
+    assert_eq!(problem, "10001 agents: at most 10000 are allowed");
 }
 
 #[test]
