--- a/control/src/admin_call.rs
+++ b/control/src/admin_call.rs
@@ -1,20 +1,20 @@
-//! The calls of the agents' admin API, typed. A call is one line of words; `docs/oncall.md` lists them.
+//! Typed calls of the agents' admin API. On the wire a call is one line of words; `docs/oncall.md` lists them.
 
 use std::fmt;
 use thiserror::Error;
 
-/// The name of a renderer or a zone: not empty, without white space and control characters, so that it is always one
-/// word of a call.
+/// The name of a renderer or a zone. It is not empty and has no white space or control characters, so it is always
+/// exactly one word of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Name(String);
 
-/// A name that would make another call of the line that it stands in.
+/// The rejected text: as a name in a call's line it could turn that line into a different call.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("{0:?} is no name; one without spaces was expected")]
+#[error("{0:?} is not a valid name: expected a non-empty one without spaces or control characters")]
 pub struct InvalidName(String);
 
 impl Name {
-    /// Checks a name.
+    /// Validates a name.
     ///
     /// # Errors
     ///
@@ -33,14 +33,15 @@
     }
 }
 
-/// A command that changes what an agent uses. Each is idempotent and is displayed as its line of the admin API.
+/// A command that changes which renderers or zones an agent uses. All commands are idempotent. `Display` writes the
+/// command's line of the admin API.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OperatorCommand {
-    /// Send nothing new to a renderer.
+    /// Send no new requests to a renderer.
     Cordon(Name),
     /// Use a renderer again.
     Uncordon(Name),
-    /// Send nothing new to any renderer of a zone.
+    /// Send no new requests to any renderer of a zone.
     LeaveZone(Name),
     /// Use a zone again.
     ReturnToZone(Name),
@@ -69,18 +70,18 @@
     }
 }
 
-/// One call of the admin API, displayed as its line.
+/// One call of the admin API. `Display` writes its line, without the newline.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdminCall {
-    /// Whether the agent takes clients; answered `done` or an error.
+    /// Whether the agent accepts clients; answered `done` or an error.
     Health,
-    /// Its counters, as JSON.
+    /// The agent's counters, as JSON.
     Counters,
-    /// The renderers on its endpoint list, as JSON.
+    /// The renderers on the agent's endpoint list, as JSON.
     Renderers,
-    /// The zones of its endpoint list, as JSON.
+    /// The zones on the agent's endpoint list, as JSON.
     Zones,
-    /// A command; answered `done` or an error.
+    /// An operator command; answered `done` or an error.
     Command(OperatorCommand),
 }
 
--- a/control/src/aggregate.rs
+++ b/control/src/aggregate.rs
@@ -1,27 +1,28 @@
-//! Sums over the answers of many agents.
+//! Combines the answers of many agents.
 //!
-//! All agents see the same renderers, so what an endpoint list holds is not added up: the largest value stands. What
-//! an agent has counted is its own, so counts are added up; they saturate instead of wrapping.
+//! All agents see the same renderers, so values that describe the endpoint list are not added: the largest is used.
+//! Each agent keeps its own counts, so they are added; the sums saturate instead of wrapping.
 
 use balancer_agent::admin_api::{Counters, Renderer, Renderers, Zone, Zones};
 use std::collections::BTreeMap;
 
-/// The counters of all agents together.
+/// The combined counters of all agents.
 pub fn sum_counters<'a>(counters: impl Iterator<Item = &'a Counters>) -> Counters {
     let mut sum = Counters::default();
-    for one in counters {
-        add_by_class(&mut sum.answered, &one.answered);
-        add_by_class(&mut sum.rejected, &one.rejected);
-        add_by_class(&mut sum.failed, &one.failed);
-        add(&mut sum.sends, one.sends);
-        add(&mut sum.current, one.current);
-        raise(&mut sum.cluster_size, one.cluster_size);
-        raise(&mut sum.cluster_unhealthy, one.cluster_unhealthy);
+    for agent_counters in counters {
+        add_by_class(&mut sum.answered, &agent_counters.answered);
+        add_by_class(&mut sum.rejected, &agent_counters.rejected);
+        add_by_class(&mut sum.failed, &agent_counters.failed);
+        add(&mut sum.sends, agent_counters.sends);
+        add(&mut sum.current, agent_counters.current);
+        update_max(&mut sum.cluster_size, agent_counters.cluster_size);
+        update_max(&mut sum.cluster_unhealthy, agent_counters.cluster_unhealthy);
     }
     sum
 }
 
-/// Each zone as all agents together see it, by name. Of the phases, the one with the lowest share of draws stands.
+/// Each zone with the combined values of all agents, sorted by name. Of the agents' phases the one with the lowest
+/// share of the zone's usual requests is used.
 pub fn merge_zones<'a>(answers: impl Iterator<Item = &'a Zones>) -> Vec<Zone> {
     let mut merged: BTreeMap<&str, Zone> = BTreeMap::new();
     for zone in answers.flat_map(|zones| &zones.zones) {
@@ -33,11 +34,11 @@
 }
 
 fn merge_zone(sum: &mut Zone, zone: &Zone) {
-    raise(&mut sum.listed, zone.listed);
-    raise(&mut sum.serving, zone.serving);
-    raise(&mut sum.cordoned, zone.cordoned);
-    raise(&mut sum.ejected, zone.ejected);
-    raise(&mut sum.warming_up, zone.warming_up);
+    update_max(&mut sum.listed, zone.listed);
+    update_max(&mut sum.serving, zone.serving);
+    update_max(&mut sum.cordoned, zone.cordoned);
+    update_max(&mut sum.ejected, zone.ejected);
+    update_max(&mut sum.warming_up, zone.warming_up);
     sum.is_evacuated |= zone.is_evacuated;
     if zone.phases.overall.share < sum.phases.overall.share {
         sum.phases.overall = zone.phases.overall.clone();
@@ -56,22 +57,22 @@
     add(&mut sum.rejected, zone.rejected);
 }
 
-/// One renderer as all agents together see it.
+/// One renderer with the combined values of all agents.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RendererSummary {
-    /// Its zone, by the first agent that has it on its endpoint list.
+    /// The zone given by the first agent that lists the renderer.
     pub zone: String,
-    /// Agents that have it on their endpoint list.
+    /// Number of agents that have the renderer on their endpoint list.
     pub listing_agents: usize,
-    /// Agents that do not use it by an operator's command.
+    /// Number of agents where an operator has cordoned the renderer.
     pub cordoning_agents: usize,
-    /// Agents that see it as an outlier.
+    /// Number of agents that have ejected the renderer as an outlier.
     pub ejecting_agents: usize,
-    /// The lowest slow-start factor at an agent, 0 to 1; 1 is warmed up.
+    /// The lowest slow-start factor at any agent, 0 to 1; 1 means warmed up.
     pub slow_start_factor: f64,
-    /// Requests that it may have of all agents now.
+    /// Concurrent requests allowed to the renderer: the sum of all agents' limits.
     pub concurrency_limit: f64,
-    /// Attempts in flight.
+    /// Attempts in flight, at all agents.
     pub in_flight: u64,
     /// Attempts sent completely.
     pub sends: u64,
@@ -114,7 +115,7 @@
     }
 }
 
-/// Each renderer as all agents together see it, by name.
+/// Each renderer with the combined values of all agents, by name.
 pub fn merge_renderers<'a>(
     answers: impl Iterator<Item = &'a Renderers>,
 ) -> BTreeMap<&'a str, RendererSummary> {
@@ -126,7 +127,7 @@
     merged
 }
 
-/// The sum of counts by class.
+/// The sum over all classes.
 pub fn total(by_class: &BTreeMap<String, u64>) -> u64 {
     by_class.values().fold(0, |sum, count| sum.saturating_add(*count))
 }
@@ -141,6 +142,6 @@
     *sum = sum.saturating_add(count);
 }
 
-fn raise(highest: &mut u64, value: u64) {
+fn update_max(highest: &mut u64, value: u64) {
     *highest = value.max(*highest);
 }
--- a/control/src/arguments.rs
+++ b/control/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command-line arguments.
 
 use crate::agent_file::{self, Agent};
 use crate::error::CommandError;
@@ -8,25 +8,25 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Names the agent file where the command line names no agents.
+/// Environment variable with the path of the agent file; used if the command line names no agents.
 const AGENTS_VARIABLE: &str = "BELLCTL_AGENTS";
 
 /// Calls the admin API of load-balancing agents, all concurrently, and prints their answers.
 ///
-/// Exit: 0 all accepted; 1 some rejected the call; 2 wrong use; 3 some did not answer, or not in the expected form.
-/// Which agents, and why, is on standard error.
+/// Exit status: 0 all agents accepted the call; 1 some rejected it; 2 usage error; 3 some gave no answer or a malformed
+/// one. Standard error lists these agents and the reasons.
 #[derive(Parser)]
 #[command(name = "balancerctl", version, max_term_width = 110)]
 pub struct Arguments {
-    /// Which agents, and in which form.
+    /// Which agents to call, and the output format.
     #[command(flatten)]
     pub options: Options,
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// The options that all commands take.
+/// The options of all commands.
 #[derive(Args)]
 pub struct Options {
     /// Admin address of an agent; can be given several times
@@ -48,15 +48,15 @@
 pub enum Command {
     /// Health, counters and zones: a row for each agent, and their sum
     Status {
-        /// Show it again every so many seconds, until interrupted
+        /// Show the status again every SECONDS seconds until interrupted
         #[arg(long, value_name = "SECONDS", num_args = 0..=1, default_missing_value = "2",
               value_parser = clap::value_parser!(u64).range(1..=3600))]
         watch: Option<u64>,
-        /// With --watch, end after so many times
+        /// With --watch, stop after showing the status N times
         #[arg(long, value_name = "N", requires = "watch", value_parser = clap::value_parser!(u64).range(1..))]
         times: Option<u64>,
     },
-    /// Whether each agent takes clients
+    /// Whether each agent accepts clients
     Health,
     /// Counters by class
     Counters,
@@ -66,24 +66,24 @@
     Zones,
     /// Take a renderer out of use at all agents
     Cordon {
-        /// Its name on the endpoint list
+        /// The renderer's name on the endpoint list
         renderer: String,
     },
     /// Bring a renderer back into use at all agents
     Uncordon {
-        /// Its name on the endpoint list
+        /// The renderer's name on the endpoint list
         renderer: String,
     },
     /// Leave a zone at all agents, or return to it
     Zone {
-        /// What to do
+        /// Whether to leave the zone or to return to it
         action: ZoneAction,
-        /// Its name on the endpoint list
+        /// The zone's name on the endpoint list
         zone: String,
     },
     /// Print completions for a shell
     Completions {
-        /// Which shell
+        /// The shell
         shell: Shell,
     },
 }
@@ -95,14 +95,14 @@
 }
 
 impl Options {
-    /// The agents that the command line names, or else the environment.
+    /// The agents named on the command line, or otherwise by the environment variable.
     ///
     /// # Errors
     ///
-    /// No agents are named, or in two ways on the command line; or their file is not valid.
+    /// No agents are named, the command line has both `--agent` and `--agents`, or the agent file is not valid.
     pub fn agents(&self) -> Result<Vec<Agent>, CommandError> {
         if !self.agent.is_empty() {
-            // --agent wins over the variable, but not over --agents beside it.
+            // --agent overrides the environment variable, but conflicts with --agents on the command line.
             if self.agents.is_some() && std::env::var_os(AGENTS_VARIABLE).is_none() {
                 return Err(CommandError::TwoAgentSelections);
             }
--- a/control/src/client.rs
+++ b/control/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the admin API: one call at one agent, and the same at many agents concurrently.
+//! Client of the admin API: makes a call to one agent, or to many agents concurrently.
 
 use crate::admin_call::AdminCall;
 use crate::agent_file::Agent;
@@ -14,58 +14,58 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// Concurrent calls at most, each with one descriptor: a process has 1,024 of them by default.
+/// Each call uses one file descriptor; a process may have 1,024 by default.
 const MAX_CONCURRENT_CALLS: usize = 800;
-/// The longest answer that is read, in bytes: the one on 2,000 renderers takes a quarter of it.
+/// Longest answer that is accepted. The largest expected one, with 2,000 renderers, takes a quarter of it.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// Characters of an agent's text that are shown at most.
+/// How much of an agent's text is shown in an error.
 const MAX_EXCERPT_CHARS: usize = 120;
 
 /// Why an agent did not accept a call.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// It answered with an error, for this reason.
+    /// The agent answered with an error; its reason.
     #[error("{0}")]
     Rejected(String),
-    /// It did not answer, or not in the expected form: its state is unknown.
+    /// The agent did not answer or its answer is malformed, so its state is unknown.
     #[error(transparent)]
     NoAnswer(#[from] NoAnswer),
 }
 
-/// Why there is no answer.
+/// Why there is no usable answer.
 #[derive(Debug, Error)]
 pub enum NoAnswer {
-    /// The answer was not complete in time.
-    #[error("no whole answer within {} ms", .0.as_millis())]
+    /// The answer was not complete within this time limit.
+    #[error("no complete answer within {} ms", .0.as_millis())]
     TimedOut(Duration),
     /// The connection was not established.
     #[error("no connection: {0}")]
     Connect(#[source] io::Error),
     /// The connection failed during the call.
-    #[error("the connection broke: {0}")]
+    #[error("connection lost during the call: {0}")]
     Connection(#[source] io::Error),
-    /// The answer is longer than an answer can be.
-    #[error("over {MAX_ANSWER_BYTES} bytes of answer")]
+    /// The answer exceeds [`MAX_ANSWER_BYTES`].
+    #[error("the answer is longer than {MAX_ANSWER_BYTES} bytes")]
     TooLong,
-    /// The agent closed the connection at once.
-    #[error("it closed the connection without an answer")]
+    /// The agent closed the connection without sending anything.
+    #[error("the agent closed the connection without an answer")]
     Empty,
-    /// The answer is not in the form of the call, or is cut short; its first characters.
-    #[error("its answer makes no sense: {0:?}")]
+    /// The answer does not have the format of the call's answers, or is truncated. Holds its first characters.
+    #[error("malformed answer: {0:?}")]
     Malformed(String),
-    /// The task that made the call has failed.
-    #[error("the call was lost")]
+    /// The task that made the call panicked or was cancelled.
+    #[error("internal error: the task of the call failed")]
     TaskFailed,
 }
 
 /// An agent's answer to a call.
 pub type CallResult<T> = Result<T, CallError>;
 
-/// Calls all agents concurrently; each has `limit` for its complete answer, from when its call starts. The results
-/// are in the order of `agents`.
+/// Calls all agents concurrently, [`MAX_CONCURRENT_CALLS`] at a time. Each has `time_limit` for its complete answer,
+/// counted from the start of its own call. The results are in the order of `agents`.
 pub async fn call_all<T, F>(
     agents: &[Agent],
-    limit: Duration,
+    time_limit: Duration,
     call: impl Fn(Agent) -> F,
 ) -> Vec<CallResult<T>>
 where
@@ -80,8 +80,8 @@
         calls.spawn(async move {
             // The semaphore is never closed, so a permit is always granted.
             let _permit = permits.acquire_owned().await;
-            let timed_out = Err(NoAnswer::TimedOut(limit).into());
-            (index, timeout(limit, answer).await.unwrap_or(timed_out))
+            let timed_out = Err(NoAnswer::TimedOut(time_limit).into());
+            (index, timeout(time_limit, answer).await.unwrap_or(timed_out))
         });
     }
     let mut results: Vec<CallResult<T>> = agents.iter().map(|_| Err(NoAnswer::TaskFailed.into())).collect();
@@ -109,19 +109,19 @@
     serde_json::from_str(json).map_err(|_| malformed(&answer).into())
 }
 
-/// The complete text of an answer that is not an error.
+/// Makes a call and returns the text of the answer unless it is an error.
 async fn call_text(agent: &Agent, call: &AdminCall) -> CallResult<String> {
     let answer = exchange(agent, call).await?;
     let answer =
         String::from_utf8(answer).map_err(|error| malformed(&String::from_utf8_lossy(error.as_bytes())))?;
     match answer.strip_prefix("error ") {
-        // Without its end the reason may have been cut short.
+        // Without the final newline the reason may be truncated.
         Some(reason) if reason.ends_with('\n') => Err(CallError::Rejected(excerpt(reason))),
         _ => Ok(answer),
     }
 }
 
-/// Writes the call's line to a new connection and reads until the agent closes it.
+/// Sends the call's line over a new connection and reads until the agent closes it.
 async fn exchange(agent: &Agent, call: &AdminCall) -> Result<Vec<u8>, NoAnswer> {
     let mut stream = TcpStream::connect(agent.address).await.map_err(NoAnswer::Connect)?;
     stream.write_all(format!("{call}\n").as_bytes()).await.map_err(NoAnswer::Connection)?;
@@ -141,7 +141,7 @@
     NoAnswer::Malformed(excerpt(answer))
 }
 
-/// The start of an agent's text, without control characters that could change the terminal it is shown on.
+/// The start of an agent's text, with control characters replaced by spaces as they could alter the terminal.
 fn excerpt(text: &str) -> String {
     let characters = text.trim_end().chars().take(MAX_EXCERPT_CHARS);
     characters.map(|character| if character.is_control() { ' ' } else { character }).collect()
--- a/control/src/commands.rs
+++ b/control/src/commands.rs
@@ -1,4 +1,4 @@
-//! Carries the commands out: calls the agents, prints their answers and tells the exit status.
+//! Runs the commands: calls the agents, prints their answers and returns the exit status.
 
 use crate::admin_call::{Name, OperatorCommand};
 use crate::agent_file::Agent;
@@ -20,8 +20,8 @@
 /// Moves the cursor home and clears the terminal.
 const CLEAR_TERMINAL: &[u8] = b"\x1b[H\x1b[2J";
 
-/// Runs the command that `arguments` name, the program's own name first. Its page goes to `out`; errors, and the agents
-/// that did not accept the call, go to `err`.
+/// Runs the command in `arguments`, which begin with the program's name. The output goes to `out`; errors, and the
+/// agents that did not accept the call, go to `err`.
 pub async fn run(
     arguments: impl IntoIterator<Item = OsString>,
     out: &mut impl Write,
@@ -34,7 +34,7 @@
     match execute(&arguments, out, err).await {
         Ok(status) => status,
         Err(error) => {
-            // The exit status tells the same where standard error is closed.
+            // If standard error is closed, the exit status still reports the failure.
             let _ = writeln!(err, "balancerctl: {error}");
             ExitStatus::UsageError
         }
@@ -47,7 +47,7 @@
     err: &mut impl Write,
 ) -> ExitStatus {
     let text = help_or_error.render().to_string();
-    // The exit status tells the same where the output is closed.
+    // If the output is closed, the exit status still reports the outcome.
     if help_or_error.use_stderr() {
         let _ = err.write_all(text.as_bytes());
         ExitStatus::UsageError
@@ -104,10 +104,10 @@
     Ok(ExitStatus::Success)
 }
 
-/// The agents that a command calls, and where and how it prints.
+/// The agents that a command calls, and its output streams and format.
 struct Session<'a, Out, Err> {
     agents: Vec<Agent>,
-    limit: Duration,
+    time_limit: Duration,
     json: bool,
     out: &'a mut Out,
     err: &'a mut Err,
@@ -116,11 +116,11 @@
 impl<'a, Out: Write, Err: Write> Session<'a, Out, Err> {
     fn new(options: &Options, out: &'a mut Out, err: &'a mut Err) -> Result<Self, CommandError> {
         let agents = options.agents()?;
-        Ok(Session { agents, limit: options.timeout(), json: options.json, out, err })
+        Ok(Session { agents, time_limit: options.timeout(), json: options.json, out, err })
     }
 
     async fn status(&mut self) -> Result<ExitStatus, CommandError> {
-        let answers = queries::status(&self.agents, self.limit).await;
+        let answers = queries::status(&self.agents, self.time_limit).await;
         let sum = aggregate::sum_counters(answers.answers().map(|status| &status.counters));
         let status = self.show(&answers, output::status(&answers), Some(json!(sum)))?;
         let all_serving = answers.answers().all(|status| status.health == Health::Serving);
@@ -130,7 +130,8 @@
         Ok(status)
     }
 
-    /// Shows the status every `interval`, `times` times or until it is interrupted. The exit status is the last page's.
+    /// Shows the status every `interval`, until it was shown `times` times or the user interrupts it. Returns the exit
+    /// status of the last page.
     async fn watch_status(
         &mut self,
         interval: Duration,
@@ -152,7 +153,8 @@
         Ok(status)
     }
 
-    /// A page replaces the one before it on a terminal, and elsewhere follows a blank line. JSON has a line a page.
+    /// Separates a page from the previous one: clears a terminal, and prints a blank line elsewhere. JSON needs no
+    /// separator, as each page is one line.
     fn separate_pages(&mut self, is_first: bool) -> Result<(), CommandError> {
         if self.json {
             return Ok(());
@@ -167,29 +169,29 @@
     }
 
     async fn health(&mut self) -> Result<ExitStatus, CommandError> {
-        let answers = queries::health(&self.agents, self.limit).await;
+        let answers = queries::health(&self.agents, self.time_limit).await;
         self.show(&answers, output::health(&answers), None)
     }
 
     async fn counters(&mut self) -> Result<ExitStatus, CommandError> {
-        let answers = queries::counters(&self.agents, self.limit).await;
+        let answers = queries::counters(&self.agents, self.time_limit).await;
         let sum = aggregate::sum_counters(answers.answers());
         self.show(&answers, output::counters(&answers), Some(json!(sum)))
     }
 
     async fn renderers(&mut self) -> Result<ExitStatus, CommandError> {
-        let answers = queries::renderers(&self.agents, self.limit).await;
+        let answers = queries::renderers(&self.agents, self.time_limit).await;
         self.show(&answers, output::renderers(&answers), None)
     }
 
     async fn zones(&mut self) -> Result<ExitStatus, CommandError> {
-        let answers = queries::zones(&self.agents, self.limit).await;
+        let answers = queries::zones(&self.agents, self.time_limit).await;
         self.show(&answers, output::zones(&answers), None)
     }
 
-    /// Gives all agents a command. The page itself names the agents that did not accept it.
+    /// Sends a command to all agents. The agents that did not accept it are listed in the page, not on standard error.
     async fn command(&mut self, command: OperatorCommand) -> Result<ExitStatus, CommandError> {
-        let answers = queries::command(&self.agents, self.limit, &command).await;
+        let answers = queries::command(&self.agents, self.time_limit, &command).await;
         let page = if self.json {
             output::json(&answers, None)
         } else {
@@ -199,7 +201,7 @@
         Ok(answers.exit_status())
     }
 
-    /// Prints the page, or the answers and their sum as JSON, and the agents that did not accept the call.
+    /// Prints the page, or the answers and their sum as JSON; lists the agents that did not accept the call on `err`.
     fn show<T: Serialize>(
         &mut self,
         answers: &FleetAnswers<T>,
@@ -208,13 +210,13 @@
     ) -> Result<ExitStatus, CommandError> {
         let page = if self.json { output::json(answers, sum) } else { page };
         print(self.out, page.as_bytes())?;
-        // The exit status tells the same where standard error is closed.
+        // If standard error is closed, the exit status still reports the failure.
         let _ = self.err.write_all(output::failures(answers).as_bytes());
         Ok(answers.exit_status())
     }
 }
 
-/// Writes all of `text`. A closed pipe is not an error: its reader, such as `head`, has seen enough.
+/// Writes all of `text`. A closed pipe is not an error: a reader such as `head` may exit early.
 fn print(out: &mut impl Write, text: &[u8]) -> Result<(), CommandError> {
     match out.write_all(text).and_then(|()| out.flush()) {
         Err(error) if error.kind() != ErrorKind::BrokenPipe => Err(CommandError::Print(error)),
--- a/control/src/error.rs
+++ b/control/src/error.rs
@@ -1,25 +1,25 @@
-//! What ends a run before or while it prints.
+//! Errors that end a run before or while it prints.
 
 use crate::admin_call::InvalidName;
 use crate::agent_file::AgentFileError;
 use thiserror::Error;
 
-/// Why the command could not be carried out at all. Faults of single agents are [`crate::client::CallError`]s.
+/// Why a command failed as a whole. Failures of single agents are [`crate::client::CallError`]s.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// Agents are named in two ways.
-    #[error("--agent and --agents are both given; one of them was expected")]
+    /// The command line has both `--agent` and `--agents`.
+    #[error("--agent and --agents cannot be used together")]
     TwoAgentSelections,
-    /// Agents are named in no way.
-    #[error("no agent is named; --agent ADDRESS or --agents FILE was expected")]
+    /// Neither the command line nor the environment names agents.
+    #[error("no agents given: use --agent ADDRESS or --agents FILE")]
     NoAgentSelection,
-    /// The agent file is not valid.
+    /// The agent file cannot be read or is not valid.
     #[error(transparent)]
     AgentFile(#[from] AgentFileError),
     /// The name of a renderer or zone is not valid.
     #[error(transparent)]
     InvalidName(#[from] InvalidName),
-    /// Standard output does not take the page.
-    #[error("cannot print: {0}")]
+    /// Writing to standard output failed.
+    #[error("cannot write to standard output: {0}")]
     Print(#[source] std::io::Error),
 }
--- a/control/src/exit_status.rs
+++ b/control/src/exit_status.rs
@@ -2,17 +2,17 @@
 
 use std::process::ExitCode;
 
-/// How a run ended. Its number is the exit code of the process; scripts of the operators depend on these numbers.
+/// How a run ended. The discriminants are the exit codes of the process; operators' scripts depend on them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitStatus {
     /// All agents accepted the call.
     Success = 0,
-    /// Some agents rejected the call, or do not take clients.
+    /// Some agents rejected the call or do not accept clients.
     Rejected = 1,
     /// The command line or the agent file is not valid, or the output could not be written.
     UsageError = 2,
-    /// Some agents did not answer in time, or not in the expected form. Wins over [`ExitStatus::Rejected`], as the
+    /// Some agents gave no answer in time or a malformed one. Takes precedence over [`ExitStatus::Rejected`], as the
     /// state of these agents is unknown.
     NoAnswer = 3,
 }
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -1,8 +1,7 @@
 //! `balancerctl`, the operators' command: calls the admin API of many agents concurrently, each call within its own
 //! time limit, and prints the combined answers as tables or as JSON.
 //!
-//! The command stores nothing: every run shows the agents' state at that moment. The page for its users is
-//! `docs/balancerctl.md`.
+//! The command stores nothing: every run shows the agents' current state. `docs/balancerctl.md` is the user manual.
 
 mod admin_call;
 mod agent_file;
--- a/control/src/output/counters.rs
+++ b/control/src/output/counters.rs
@@ -1,4 +1,4 @@
-//! The page of `counters`.
+//! Output of the `counters` command.
 
 use super::table::{numbers_table, render};
 use super::Page;
@@ -9,7 +9,7 @@
 
 const HEADER: [&str; 5] = ["AGENT", "CLASS", "ANSWERED", "DEFERRED", "ERRORED"];
 
-/// Counters by class, for each agent and for all together.
+/// A table of counters by class: rows for each agent, then for the sum over all agents.
 pub fn counters(answers: &FleetAnswers<Counters>) -> Page {
     let mut table = numbers_table(&HEADER);
     let sum = sum_counters(answers.answers());
--- a/control/src/output/json.rs
+++ b/control/src/output/json.rs
@@ -1,4 +1,4 @@
-//! Answers as JSON. Programs of the operators read it: its keys and words stay as they are.
+//! JSON output. Operators' programs read it, so its keys and fixed values must not change.
 
 use super::Page;
 use crate::agent_file::Agent;
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 
-/// One line: each agent's answer, or why there is none; and the sum of the answers if they have one.
+/// One line with each agent's answer or the reason why there is none, and with the sum of the answers if given.
 pub fn json<T: Serialize>(answers: &FleetAnswers<T>, sum: Option<Value>) -> Page {
     let agents: Vec<Value> = answers.iter().map(|(agent, result)| agent_json(agent, result)).collect();
     let mut document = json!({ "agents": agents });
--- a/control/src/output/mod.rs
+++ b/control/src/output/mod.rs
@@ -1,4 +1,4 @@
-//! The pages that the commands print: tables and lines for people, and JSON for programs.
+//! The output of the commands: tables and text for people, JSON for programs.
 
 mod counters;
 mod json;
@@ -19,10 +19,10 @@
 use crate::client::CallError;
 use crate::queries::FleetAnswers;
 
-/// The text of one page, its last line's end included.
+/// The text that a command prints at once, with the final newline.
 pub type Page = String;
 
-/// How many agents take clients.
+/// How many agents accept clients.
 pub fn health(answers: &FleetAnswers<()>) -> Page {
     format!("{} agents take clients\n", count_of(answers.accepted().count(), answers.agents.len()))
 }
--- a/control/src/output/operator_command.rs
+++ b/control/src/output/operator_command.rs
@@ -1,11 +1,11 @@
-//! The page of the commands that change what agents use.
+//! Output of the operator commands, which change which renderers and zones the agents use.
 
 use super::table::{render, text_table};
 use super::{count_of, Page};
 use crate::admin_call::OperatorCommand;
 use crate::queries::FleetAnswers;
 
-/// At how many agents the command is done; where it is not, at which and why, and how to proceed.
+/// How many agents accepted the command. If some did not: which ones, why, and how to proceed.
 pub fn operator_command(answers: &FleetAnswers<()>, command: &OperatorCommand) -> Page {
     let done = answers.accepted().count();
     let all = answers.agents.len();
@@ -19,7 +19,7 @@
     }
     page.push_str(&render(&table));
     page.push_str(&format!(
-        "To go on: call `{command}` again, which changes nothing where it is done; or take it back with `{}`.\n",
+        "To proceed: call `{command}` again, which changes nothing where it is done; or undo it with `{}`.\n",
         command.inverse()
     ));
     page
--- a/control/src/output/renderers.rs
+++ b/control/src/output/renderers.rs
@@ -1,4 +1,4 @@
-//! The page of `renderers`.
+//! Output of the `renderers` command.
 
 use super::table::{numbers_table, render};
 use super::{count_of, Page};
@@ -21,7 +21,7 @@
     "REJECTED",
 ];
 
-/// The renderers as all agents together see them.
+/// A table of the renderers with the combined values of all agents.
 pub fn renderers(answers: &FleetAnswers<Renderers>) -> Page {
     let answering_agents = answers.answers().count();
     let mut table = numbers_table(&HEADER);
@@ -31,7 +31,7 @@
     let mut page = render(&table);
     let left_out = answers.answers().map(|answer| answer.left_out).max().unwrap_or(0);
     if left_out > 0 {
-        page.push_str(&format!("{left_out} more renderers are not shown: an answer holds 2,000\n"));
+        page.push_str(&format!("{left_out} more renderers are not shown: an answer lists at most 2,000\n"));
     }
     page
 }
--- a/control/src/output/status.rs
+++ b/control/src/output/status.rs
@@ -1,4 +1,4 @@
-//! The page of `status`.
+//! Output of the `status` command.
 
 use super::table::{numbers_table, render};
 use super::{count_of, name_and_address, zones, Page};
@@ -9,11 +9,11 @@
 
 const HEADER: [&str; 9] =
     ["AGENT", "HEALTH", "ANSWERED", "DEFERRED", "ERRORED", "CURRENT", "SENDS", "RENDERERS", "AVOIDED"];
-/// Agents that are named for each size of the endpoint list, where sizes differ.
+/// Where the sizes of the endpoint lists differ, at most this many agents are named for each size.
 const MAX_NAMED_AGENTS: usize = 3;
 
-/// The status of all agents: a row for each and one for all together, the zones as they see them, and what a person
-/// should look at.
+/// The status of all agents: a row for each and one for their sum, the zones, and lines for conditions that need
+/// attention.
 pub fn status(answers: &FleetAnswers<Status>) -> Page {
     let mut page = agents_table(answers);
     let zones = merge_zones(answers.answers().filter_map(|status| status.zones.as_ref()));
@@ -65,7 +65,7 @@
     }
 }
 
-/// A line where agents have endpoint lists of different sizes: one of them has missed an update.
+/// A line if agents have endpoint lists of different sizes, which means that some have missed an update.
 fn endpoint_list_differences(answers: &FleetAnswers<Status>) -> String {
     let mut agents_by_size: BTreeMap<u64, Vec<&str>> = BTreeMap::new();
     for (agent, status) in answers.accepted() {
@@ -76,12 +76,12 @@
     }
     let groups: Vec<String> = agents_by_size
         .iter()
-        .map(|(size, names)| format!("{size} renderers at {}", first_names(names)))
+        .map(|(size, names)| format!("{size} renderers at {}", abbreviate_names(names)))
         .collect();
     format!("The endpoint lists differ: {}\n", groups.join("; "))
 }
 
-fn first_names(names: &[&str]) -> String {
+fn abbreviate_names(names: &[&str]) -> String {
     let shown = &names[..names.len().min(MAX_NAMED_AGENTS)];
     let more = names.len() - shown.len();
     let shown = shown.join(", ");
--- a/control/src/output/zones.rs
+++ b/control/src/output/zones.rs
@@ -1,4 +1,4 @@
-//! The page of `zones`, which `status` shows as well.
+//! Output of the `zones` command, which `status` also includes.
 
 use super::table::{numbers_table, render};
 use super::Page;
@@ -21,12 +21,12 @@
     "REJECTED",
 ];
 
-/// The zones as all agents together see them.
+/// The zones with the combined values of all agents.
 pub fn zones(answers: &FleetAnswers<Zones>) -> Page {
     zones_section(&merge_zones(answers.answers()))
 }
 
-/// A row for each zone, and a line for each that an agent does not use completely.
+/// A row for each zone, and lines for each zone that some agent uses only in part.
 pub fn zones_section(zones: &[Zone]) -> String {
     let mut table = numbers_table(&HEADER);
     for zone in zones {
@@ -57,7 +57,8 @@
     ]
 }
 
-/// How far the zone is in use and why, for all classes and for those that differ.
+/// For a zone that is used only in part: the share of its usual requests that it gets, and the reason; overall and for
+/// each class with a phase of its own.
 fn partial_use(zone: &Zone) -> String {
     let mut lines = partial_use_line(&zone.zone, "", &zone.phases.overall);
     for (class, phase) in &zone.phases.classes {
--- a/control/src/queries.rs
+++ b/control/src/queries.rs
@@ -1,4 +1,4 @@
-//! The calls behind each command, and the agents' answers to them.
+//! The admin calls that each command makes, and the agents' answers.
 
 use crate::admin_call::{AdminCall, OperatorCommand};
 use crate::agent_file::Agent;
@@ -9,16 +9,16 @@
 use serde::{Serialize, Serializer};
 use std::time::Duration;
 
-/// Whether an agent takes clients.
+/// Whether an agent accepts clients.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Health {
-    /// It does.
+    /// It accepts clients.
     Serving,
-    /// It does not, for this reason.
+    /// It does not accept clients, for this reason.
     NotServing(String),
 }
 
-/// As `{"Ok": null}` or `{"Err": REASON}`, which readers of `status --json` depend on.
+/// Written as `{"Ok": null}` or `{"Err": REASON}`, which consumers of `status --json` depend on.
 impl Serialize for Health {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         match self {
@@ -31,11 +31,11 @@
 /// The state of one agent.
 #[derive(Debug, Clone, Serialize)]
 pub struct Status {
-    /// Whether it takes clients.
+    /// Whether it accepts clients.
     pub health: Health,
-    /// Its counters.
+    /// The agent's own counters.
     pub counters: Counters,
-    /// Its zones; agents of earlier versions do not have this call.
+    /// The zones as the agent sees them; `None` if it rejects the call, as agents of earlier versions do.
     pub zones: Option<Zones>,
 }
 
@@ -68,7 +68,7 @@
         self.iter().filter_map(|(agent, result)| result.as_ref().err().map(|error| (agent, error)))
     }
 
-    /// The exit status by these results: one missing answer decides over any number of rejections.
+    /// The exit status for these results: one missing answer takes precedence over any number of rejections.
     pub fn exit_status(&self) -> ExitStatus {
         let mut status = ExitStatus::Success;
         for (_, error) in self.failed() {
@@ -81,9 +81,9 @@
     }
 }
 
-/// Calls for health, counters and zones of each agent.
-pub async fn status(agents: &[Agent], limit: Duration) -> FleetAnswers<Status> {
-    let results = call_all(agents, limit, |agent| async move { agent_status(&agent).await }).await;
+/// Asks each agent for its health, counters and zones.
+pub async fn status(agents: &[Agent], time_limit: Duration) -> FleetAnswers<Status> {
+    let results = call_all(agents, time_limit, |agent| async move { agent_status(&agent).await }).await;
     FleetAnswers { agents: agents.to_vec(), results }
 }
 
@@ -102,41 +102,41 @@
     Ok(Status { health, counters, zones })
 }
 
-/// Calls for the health of each agent.
-pub async fn health(agents: &[Agent], limit: Duration) -> FleetAnswers<()> {
-    done(agents, limit, AdminCall::Health).await
+/// Asks each agent for its health.
+pub async fn health(agents: &[Agent], time_limit: Duration) -> FleetAnswers<()> {
+    query_done(agents, time_limit, AdminCall::Health).await
 }
 
-/// Gives each agent an operator command.
-pub async fn command(agents: &[Agent], limit: Duration, command: &OperatorCommand) -> FleetAnswers<()> {
-    done(agents, limit, AdminCall::Command(command.clone())).await
+/// Sends an operator command to each agent.
+pub async fn command(agents: &[Agent], time_limit: Duration, command: &OperatorCommand) -> FleetAnswers<()> {
+    query_done(agents, time_limit, AdminCall::Command(command.clone())).await
 }
 
-/// Calls for the counters of each agent.
-pub async fn counters(agents: &[Agent], limit: Duration) -> FleetAnswers<Counters> {
-    json(agents, limit, AdminCall::Counters).await
+/// Asks each agent for its counters.
+pub async fn counters(agents: &[Agent], time_limit: Duration) -> FleetAnswers<Counters> {
+    query_json(agents, time_limit, AdminCall::Counters).await
 }
 
-/// Calls for the renderers as each agent sees them.
-pub async fn renderers(agents: &[Agent], limit: Duration) -> FleetAnswers<Renderers> {
-    json(agents, limit, AdminCall::Renderers).await
+/// Asks each agent for the renderers as it sees them.
+pub async fn renderers(agents: &[Agent], time_limit: Duration) -> FleetAnswers<Renderers> {
+    query_json(agents, time_limit, AdminCall::Renderers).await
 }
 
-/// Calls for the zones as each agent sees them.
-pub async fn zones(agents: &[Agent], limit: Duration) -> FleetAnswers<Zones> {
-    json(agents, limit, AdminCall::Zones).await
+/// Asks each agent for the zones as it sees them.
+pub async fn zones(agents: &[Agent], time_limit: Duration) -> FleetAnswers<Zones> {
+    query_json(agents, time_limit, AdminCall::Zones).await
 }
 
-async fn done(agents: &[Agent], limit: Duration, call: AdminCall) -> FleetAnswers<()> {
+async fn query_done(agents: &[Agent], time_limit: Duration, call: AdminCall) -> FleetAnswers<()> {
     let make_call = |agent| {
         let call = call.clone();
         async move { call_done(&agent, &call).await }
     };
-    let results = call_all(agents, limit, make_call).await;
+    let results = call_all(agents, time_limit, make_call).await;
     FleetAnswers { agents: agents.to_vec(), results }
 }
 
-async fn json<T>(agents: &[Agent], limit: Duration, call: AdminCall) -> FleetAnswers<T>
+async fn query_json<T>(agents: &[Agent], time_limit: Duration, call: AdminCall) -> FleetAnswers<T>
 where
     T: DeserializeOwned + Send + 'static,
 {
@@ -144,6 +144,6 @@
         let call = call.clone();
         async move { call_json(&agent, &call).await }
     };
-    let results = call_all(agents, limit, make_call).await;
+    let results = call_all(agents, time_limit, make_call).await;
     FleetAnswers { agents: agents.to_vec(), results }
 }
--- a/control/tests/commands.rs
+++ b/control/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The commands against stand-ins for agents, of which some cannot be reached, are silent or answer in a wrong form.
+//! Runs the commands against fake agents, some of which are unreachable, silent or send malformed answers.
 
 use balancerctl::ExitStatus;
 use std::net::SocketAddr;
@@ -6,29 +6,29 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket};
 
-/// How a stand-in for an agent answers.
+/// How a fake agent answers.
 #[derive(Clone, Copy)]
 enum Behaviour {
-    /// As an agent that takes clients.
+    /// As an agent that accepts clients.
     Accepts,
-    /// As an agent that takes no clients and no operator command.
+    /// As an agent that accepts neither clients nor operator commands.
     Rejects,
-    /// Not at all.
+    /// Keeps the connection open and sends nothing.
     Silent,
-    /// Completely, but a byte each 200 ms.
+    /// Sends a complete answer, one byte every 200 ms.
     Slow,
-    /// In another protocol, with characters that change a terminal.
+    /// Sends another protocol, with control characters that would alter a terminal.
     Malformed,
-    /// Without the answer's last byte.
-    CutShort,
-    /// Without an end.
+    /// Sends the answer without its last byte.
+    Truncated,
+    /// Sends bytes until the client closes the connection.
     Endless,
 }
 
 const COUNTERS: &str = r#"{"answered":{"read":10},"deferred":{"read":2},"errored":{"read":1},"sends":13,"current":3,"cluster_size":60,"cluster_unhealthy":1}"#;
 const ZONES: &str = r#"{"zones":[{"zone":"a","listed":60,"serving":60,"cordoned":0,"doubted":1,"cold":0,"limit":2.5,"in_flight":3,"sends":13,"answered":10,"failed":2,"rejected":1}],"left_out":0}"#;
 
-async fn stand_in(behaviour: Behaviour) -> SocketAddr {
+async fn start_fake_agent(behaviour: Behaviour) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
@@ -57,7 +57,7 @@
                         return;
                     }
                     Behaviour::Malformed => "HTTP/1.1 400 \u{7}\u{1b}[2J\r\n\r\n".to_owned(),
-                    Behaviour::CutShort => accepted[..accepted.len() - 1].to_owned(),
+                    Behaviour::Truncated => accepted[..accepted.len() - 1].to_owned(),
                     Behaviour::Endless => {
                         while stream.write_all(&[b'x'; 1 << 16]).await.is_ok() {}
                         return;
@@ -84,29 +84,29 @@
     }
 }
 
-/// How a run of the command ended, and what it printed.
-struct Finished {
+/// The exit status of a run and what it printed.
+struct CommandResult {
     status: ExitStatus,
     out: String,
     err: String,
 }
 
-async fn balancerctl(arguments: &[&str]) -> Finished {
+async fn balancerctl(arguments: &[&str]) -> CommandResult {
     let (mut out, mut err) = (Vec::new(), Vec::new());
     let arguments = ["balancerctl"].iter().chain(arguments).map(|word| (*word).into());
     let status = balancerctl::run(arguments, &mut out, &mut err).await;
     let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
-    Finished { status, out: text(out), err: text(err) }
+    CommandResult { status, out: text(out), err: text(err) }
 }
 
-/// A file of its own for a test, gone at its end.
-struct File(std::path::PathBuf);
+/// A temporary file that is removed when it is dropped.
+struct TemporaryFile(std::path::PathBuf);
 
-impl File {
+impl TemporaryFile {
     fn new(name: &str, text: &str) -> Self {
         let file = std::env::temp_dir().join(format!("balancerctl-{name}-{}", std::process::id()));
         std::fs::write(&file, text).expect("a file");
-        File(file)
+        TemporaryFile(file)
     }
 
     fn path(&self) -> &str {
@@ -114,7 +114,7 @@
     }
 }
 
-impl Drop for File {
+impl Drop for TemporaryFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
@@ -127,47 +127,47 @@
 #[tokio::test]
 async fn status_over_hundreds_of_agents_shows_those_that_answer_and_names_those_that_do_not() {
     let unreachable = Unreachable::new();
-    let mut lines = format!("dead {}\n", unreachable.address);
+    let mut lines = format!("unreachable {}\n", unreachable.address);
     let faulty =
-        [Behaviour::Silent, Behaviour::Slow, Behaviour::Malformed, Behaviour::CutShort, Behaviour::Endless];
+        [Behaviour::Silent, Behaviour::Slow, Behaviour::Malformed, Behaviour::Truncated, Behaviour::Endless];
     for (n, behaviour) in faulty.into_iter().enumerate() {
-        lines.push_str(&format!("odd{n} {}\n", stand_in(behaviour).await));
+        lines.push_str(&format!("faulty{n} {}\n", start_fake_agent(behaviour).await));
     }
-    lines.push_str(&format!("no0 {}\n", stand_in(Behaviour::Rejects).await));
+    lines.push_str(&format!("no0 {}\n", start_fake_agent(Behaviour::Rejects).await));
     for n in 0..293 {
-        lines.push_str(&format!("n{n} {}\n", stand_in(Behaviour::Accepts).await));
+        lines.push_str(&format!("n{n} {}\n", start_fake_agent(Behaviour::Accepts).await));
     }
-    let file = File::new("many", &lines);
+    let file = TemporaryFile::new("many", &lines);
     let started = Instant::now();
     let finished = balancerctl(&["status", "--timeout", "5000", "--agents", file.path()]).await;
     assert!(started.elapsed() < Duration::from_secs(60), "{:?}", started.elapsed());
     assert_eq!(finished.status, ExitStatus::NoAnswer);
-    let Finished { out, err, .. } = finished;
+    let CommandResult { out, err, .. } = finished;
     let row = |name: &str| -> Vec<String> {
         let line = out.lines().find(|line| line.split_whitespace().next() == Some(name));
         line.expect("a row").split_whitespace().map(str::to_owned).collect()
     };
     assert_eq!(row("n0"), ["n0", "yes", "10", "2", "1", "3", "13", "60", "1"]);
     assert_eq!(row("no0")[1], "no");
-    assert_eq!(row("odd0")[1..3], ["-", "-"]);
-    // The agent that takes no clients has counters as well.
+    assert_eq!(row("faulty0")[1..3], ["-", "-"]);
+    // The agent that accepts no clients is also counted in the sums.
     assert_eq!(row("all"), ["all", "293", "of", "300", "2940", "588", "294", "882", "3822", "60", "1"]);
     assert_eq!(row("a"), ["a", "60", "60", "0", "1", "0", "735.0", "882", "3822", "2940", "588", "294"]);
     assert!(out.contains("no0 (") && out.contains("takes no clients: not now"), "{out}");
     let failure = |name: &str| err.lines().find(|line| line.starts_with(name)).expect("a line").to_owned();
-    assert!(failure("dead").contains("no connection"), "{err}");
-    assert!(failure("odd0").contains("no whole answer within 5000 ms"), "{err}");
-    assert!(failure("odd1").contains("no whole answer"), "{err}");
-    assert!(failure("odd2").contains("makes no sense") && !err.contains('\u{1b}'), "{err}");
-    assert!(failure("odd3").contains("makes no sense"), "{err}");
-    assert!(failure("odd4").contains("bytes of answer"), "{err}");
+    assert!(failure("unreachable").contains("no connection"), "{err}");
+    assert!(failure("faulty0").contains("no complete answer within 5000 ms"), "{err}");
+    assert!(failure("faulty1").contains("no complete answer"), "{err}");
+    assert!(failure("faulty2").contains("malformed answer") && !err.contains('\u{1b}'), "{err}");
+    assert!(failure("faulty3").contains("malformed answer"), "{err}");
+    assert!(failure("faulty4").contains("the answer is longer than 4194304 bytes"), "{err}");
     assert_eq!(err.lines().count(), 6, "{err}");
 }
 
 #[tokio::test]
 async fn an_operator_command_is_done_at_all_agents_or_the_page_names_where_not_and_how_to_proceed() {
-    let accepting = stand_in(Behaviour::Accepts).await.to_string();
-    let rejecting = stand_in(Behaviour::Rejects).await.to_string();
+    let accepting = start_fake_agent(Behaviour::Accepts).await.to_string();
+    let rejecting = start_fake_agent(Behaviour::Rejects).await.to_string();
     let unreachable = Unreachable::new();
     let unreachable_address = unreachable.address.to_string();
 
@@ -177,8 +177,13 @@
 
     let finished = balancerctl(&["uncordon", "r1", "--agent", &accepting, "--agent", &rejecting]).await;
     assert_eq!(finished.status, ExitStatus::Rejected);
-    let parts =
-        ["done at 1 of 2 agents", "not now", &rejecting, "To go on: call `uncordon r1` again", "`cordon r1`"];
+    let parts = [
+        "done at 1 of 2 agents",
+        "not now",
+        &rejecting,
+        "To proceed: call `uncordon r1` again",
+        "`cordon r1`",
+    ];
     assert!(parts.iter().all(|part| finished.out.contains(part)), "{}", finished.out);
 
     let finished =
@@ -194,7 +199,7 @@
 
 #[tokio::test]
 async fn each_operator_command_is_one_line_and_names_the_command_that_undoes_it() {
-    let rejecting = stand_in(Behaviour::Rejects).await.to_string();
+    let rejecting = start_fake_agent(Behaviour::Rejects).await.to_string();
     for (arguments, line, inverse) in [
         (["cordon", "r1"].as_slice(), "cordon r1", "uncordon r1"),
         (&["uncordon", "r1"], "uncordon r1", "cordon r1"),
@@ -205,13 +210,13 @@
         let out = balancerctl(&arguments).await.out;
         assert!(out.starts_with(&format!("{line}: done at 0 of 1 agents\n")), "{out}");
         assert!(out.contains(&format!("call `{line}` again")), "{out}");
-        assert!(out.contains(&format!("take it back with `{inverse}`")), "{out}");
+        assert!(out.contains(&format!("undo it with `{inverse}`")), "{out}");
     }
 }
 
 #[tokio::test]
-async fn a_name_that_would_be_another_call_is_rejected() {
-    let accepting = stand_in(Behaviour::Accepts).await.to_string();
+async fn a_name_that_could_form_another_call_is_rejected() {
+    let accepting = start_fake_agent(Behaviour::Accepts).await.to_string();
     for name in ["a b", "", "a\nuncordon b"] {
         let finished = balancerctl(&["cordon", name, "--agent", &accepting]).await;
         assert_eq!(finished.status, ExitStatus::UsageError, "{name:?}");
@@ -230,15 +235,15 @@
 
 #[tokio::test]
 async fn a_watch_ends_after_the_number_of_times_given() {
-    let accepting = stand_in(Behaviour::Accepts).await.to_string();
+    let accepting = start_fake_agent(Behaviour::Accepts).await.to_string();
     let finished = balancerctl(&["status", "--agent", &accepting, "--watch", "1", "--times", "2"]).await;
-    // Each page has the word in its table of agents and in its table of zones.
+    // Each of the two pages has the column in its table of agents and in its table of zones.
     assert_eq!((finished.status, finished.out.matches("ANSWERED").count()), (ExitStatus::Success, 4));
 }
 
 #[tokio::test]
 async fn counters_and_health_are_printed_for_people_and_counters_as_json() {
-    let accepting = stand_in(Behaviour::Accepts).await.to_string();
+    let accepting = start_fake_agent(Behaviour::Accepts).await.to_string();
     let finished = balancerctl(&["counters", "--json", "--agent", &accepting]).await;
     assert_eq!(json(&finished.out)["sum"]["answered"]["read"], 10);
     assert!(balancerctl(&["counters", "--agent", &accepting]).await.out.contains("read"));
@@ -247,8 +252,8 @@
 
 #[tokio::test]
 async fn status_as_json_keeps_its_keys() {
-    let accepting = stand_in(Behaviour::Accepts).await.to_string();
-    let rejecting = stand_in(Behaviour::Rejects).await.to_string();
+    let accepting = start_fake_agent(Behaviour::Accepts).await.to_string();
+    let rejecting = start_fake_agent(Behaviour::Rejects).await.to_string();
     let unreachable = Unreachable::new();
     let unreachable_address = unreachable.address.to_string();
     let mut arguments = vec!["status", "--json"];
@@ -282,10 +287,10 @@
 }
 
 #[tokio::test]
-async fn the_environment_names_the_agent_file_and_the_command_line_wins_over_it() {
-    let accepting = stand_in(Behaviour::Accepts).await.to_string();
+async fn the_environment_variable_names_the_agent_file_and_the_command_line_overrides_it() {
+    let accepting = start_fake_agent(Behaviour::Accepts).await.to_string();
     let unreachable = Unreachable::new();
-    let file = File::new("environment", &format!("dead {}\n", unreachable.address));
+    let file = TemporaryFile::new("environment", &format!("unreachable {}\n", unreachable.address));
     for (agent, expected) in [(None, ExitStatus::NoAnswer), (Some(&accepting), ExitStatus::Success)] {
         let mut program = tokio::process::Command::new(env!("CARGO_BIN_EXE_balancerctl"));
         program.arg("health").env("BELLCTL_AGENTS", file.path());
@@ -298,7 +303,7 @@
 }
 
 #[test]
-fn exit_codes_are_those_of_the_page() {
+fn exit_codes_are_the_documented_ones() {
     let statuses = [ExitStatus::Success, ExitStatus::Rejected, ExitStatus::UsageError, ExitStatus::NoAnswer];
     assert_eq!(statuses.map(ExitStatus::code), [0, 1, 2, 3]);
 }
