--- a/control/src/aggregate.rs
+++ b/control/src/aggregate.rs
@@ -74,13 +74,13 @@
     pub concurrency_limit: f64,
     /// Attempts in flight, at all agents.
     pub in_flight: u64,
-    /// Attempts sent completely.
+    /// Attempts sent completely, at all agents.
     pub sends: u64,
-    /// Attempts answered.
+    /// Attempts answered, at all agents.
     pub answered: u64,
-    /// Attempts failed.
+    /// Attempts that failed: an error, no response in time, no connection or a broken one.
     pub failed: u64,
-    /// Attempts rejected unprocessed.
+    /// Attempts that the renderer rejected without processing them.
     pub rejected: u64,
 }
 
--- a/control/tests/commands.rs
+++ b/control/tests/commands.rs
@@ -133,27 +133,27 @@
     for (n, behaviour) in faulty.into_iter().enumerate() {
         lines.push_str(&format!("faulty{n} {}\n", start_fake_agent(behaviour).await));
     }
-    lines.push_str(&format!("no0 {}\n", start_fake_agent(Behaviour::Rejects).await));
+    lines.push_str(&format!("rejecting0 {}\n", start_fake_agent(Behaviour::Rejects).await));
     for n in 0..293 {
         lines.push_str(&format!("n{n} {}\n", start_fake_agent(Behaviour::Accepts).await));
     }
     let file = TemporaryFile::new("many", &lines);
     let started = Instant::now();
-    let finished = balancerctl(&["status", "--timeout", "5000", "--agents", file.path()]).await;
+    let result = balancerctl(&["status", "--timeout", "5000", "--agents", file.path()]).await;
     assert!(started.elapsed() < Duration::from_secs(60), "{:?}", started.elapsed());
-    assert_eq!(finished.status, ExitStatus::NoAnswer);
-    let CommandResult { out, err, .. } = finished;
+    assert_eq!(result.status, ExitStatus::NoAnswer);
+    let CommandResult { out, err, .. } = result;
     let row = |name: &str| -> Vec<String> {
         let line = out.lines().find(|line| line.split_whitespace().next() == Some(name));
         line.expect("a row").split_whitespace().map(str::to_owned).collect()
     };
     assert_eq!(row("n0"), ["n0", "yes", "10", "2", "1", "3", "13", "60", "1"]);
-    assert_eq!(row("no0")[1], "no");
+    assert_eq!(row("rejecting0")[1], "no");
     assert_eq!(row("faulty0")[1..3], ["-", "-"]);
     // The agent that accepts no clients is also counted in the sums.
     assert_eq!(row("all"), ["all", "293", "of", "300", "2940", "588", "294", "882", "3822", "60", "1"]);
     assert_eq!(row("a"), ["a", "60", "60", "0", "1", "0", "735.0", "882", "3822", "2940", "588", "294"]);
-    assert!(out.contains("no0 (") && out.contains("takes no clients: not now"), "{out}");
+    assert!(out.contains("rejecting0 (") && out.contains("takes no clients: not now"), "{out}");
     let failure = |name: &str| err.lines().find(|line| line.starts_with(name)).expect("a line").to_owned();
     assert!(failure("unreachable").contains("no connection"), "{err}");
     assert!(failure("faulty0").contains("no complete answer within 5000 ms"), "{err}");
@@ -165,35 +165,33 @@
 }
 
 #[tokio::test]
-async fn an_operator_command_is_done_at_all_agents_or_the_page_names_where_not_and_how_to_proceed() {
+async fn an_operator_command_is_done_at_all_agents_or_the_output_names_the_failures_and_how_to_proceed() {
     let accepting = start_fake_agent(Behaviour::Accepts).await.to_string();
     let rejecting = start_fake_agent(Behaviour::Rejects).await.to_string();
     let unreachable = Unreachable::new();
     let unreachable_address = unreachable.address.to_string();
 
-    let finished = balancerctl(&["cordon", "r1", "--agent", &accepting]).await;
-    assert_eq!(finished.status, ExitStatus::Success);
-    assert_eq!(finished.out, "cordon r1: done at 1 of 1 agents\n");
+    let result = balancerctl(&["cordon", "r1", "--agent", &accepting]).await;
+    assert_eq!(result.status, ExitStatus::Success);
+    assert_eq!(result.out, "cordon r1: done at 1 of 1 agents\n");
 
-    let finished = balancerctl(&["uncordon", "r1", "--agent", &accepting, "--agent", &rejecting]).await;
-    assert_eq!(finished.status, ExitStatus::Rejected);
-    let parts = [
+    let result = balancerctl(&["uncordon", "r1", "--agent", &accepting, "--agent", &rejecting]).await;
+    assert_eq!(result.status, ExitStatus::Rejected);
+    let expected_parts = [
         "done at 1 of 2 agents",
         "not now",
         &rejecting,
         "To proceed: call `uncordon r1` again",
         "`cordon r1`",
     ];
-    assert!(parts.iter().all(|part| finished.out.contains(part)), "{}", finished.out);
+    assert!(expected_parts.iter().all(|part| result.out.contains(part)), "{}", result.out);
 
-    let finished =
-        balancerctl(&["cordon", "r1", "--agent", &rejecting, "--agent", &unreachable_address]).await;
-    assert_eq!(finished.status, ExitStatus::NoAnswer);
-    assert!(finished.out.contains("done at 0 of 2"), "{}", finished.out);
+    let result = balancerctl(&["cordon", "r1", "--agent", &rejecting, "--agent", &unreachable_address]).await;
+    assert_eq!(result.status, ExitStatus::NoAnswer);
+    assert!(result.out.contains("done at 0 of 2"), "{}", result.out);
 
-    let finished =
-        balancerctl(&["--json", "cordon", "r1", "--agent", &accepting, "--agent", &rejecting]).await;
-    let agents = &json(&finished.out)["agents"];
+    let result = balancerctl(&["--json", "cordon", "r1", "--agent", &accepting, "--agent", &rejecting]).await;
+    let agents = &json(&result.out)["agents"];
     assert_eq!((&agents[0]["said"], &agents[1]["said"]), (&"yes".into(), &"no".into()));
 }
 
@@ -218,34 +216,34 @@
 async fn a_name_that_could_form_another_call_is_rejected() {
     let accepting = start_fake_agent(Behaviour::Accepts).await.to_string();
     for name in ["a b", "", "a\nuncordon b"] {
-        let finished = balancerctl(&["cordon", name, "--agent", &accepting]).await;
-        assert_eq!(finished.status, ExitStatus::UsageError, "{name:?}");
-        assert!(finished.err.contains("without spaces"), "{}", finished.err);
+        let result = balancerctl(&["cordon", name, "--agent", &accepting]).await;
+        assert_eq!(result.status, ExitStatus::UsageError, "{name:?}");
+        assert!(result.err.contains("without spaces"), "{}", result.err);
     }
 }
 
 #[tokio::test]
-async fn a_command_line_that_is_not_valid_prints_an_error_and_no_page() {
+async fn an_invalid_command_line_prints_an_error_and_nothing_on_standard_output() {
     for arguments in [&["status"][..], &["status", "--agents", "/nowhere"], &["novel"], &["cordon"], &[]] {
-        let finished = balancerctl(arguments).await;
-        assert_eq!(finished.status, ExitStatus::UsageError, "{arguments:?}");
-        assert!(!finished.err.is_empty() && finished.out.is_empty(), "{arguments:?}");
+        let result = balancerctl(arguments).await;
+        assert_eq!(result.status, ExitStatus::UsageError, "{arguments:?}");
+        assert!(!result.err.is_empty() && result.out.is_empty(), "{arguments:?}");
     }
 }
 
 #[tokio::test]
 async fn a_watch_ends_after_the_number_of_times_given() {
     let accepting = start_fake_agent(Behaviour::Accepts).await.to_string();
-    let finished = balancerctl(&["status", "--agent", &accepting, "--watch", "1", "--times", "2"]).await;
+    let result = balancerctl(&["status", "--agent", &accepting, "--watch", "1", "--times", "2"]).await;
     // Each of the two pages has the column in its table of agents and in its table of zones.
-    assert_eq!((finished.status, finished.out.matches("ANSWERED").count()), (ExitStatus::Success, 4));
+    assert_eq!((result.status, result.out.matches("ANSWERED").count()), (ExitStatus::Success, 4));
 }
 
 #[tokio::test]
 async fn counters_and_health_are_printed_for_people_and_counters_as_json() {
     let accepting = start_fake_agent(Behaviour::Accepts).await.to_string();
-    let finished = balancerctl(&["counters", "--json", "--agent", &accepting]).await;
-    assert_eq!(json(&finished.out)["sum"]["answered"]["read"], 10);
+    let result = balancerctl(&["counters", "--json", "--agent", &accepting]).await;
+    assert_eq!(json(&result.out)["sum"]["answered"]["read"], 10);
     assert!(balancerctl(&["counters", "--agent", &accepting]).await.out.contains("read"));
     assert_eq!(balancerctl(&["health", "--agent", &accepting]).await.out, "1 of 1 agents take clients\n");
 }
@@ -260,9 +258,9 @@
     for address in [&accepting, &rejecting, &unreachable_address] {
         arguments.extend(["--agent", address]);
     }
-    let finished = balancerctl(&arguments).await;
-    assert_eq!(finished.status, ExitStatus::NoAnswer);
-    let document = json(&finished.out);
+    let result = balancerctl(&arguments).await;
+    assert_eq!(result.status, ExitStatus::NoAnswer);
+    let document = json(&result.out);
     let agents = &document["agents"];
     let counters = json(COUNTERS);
     assert_eq!(agents[0]["agent"], accepting);
@@ -280,8 +278,8 @@
 #[tokio::test]
 async fn completions_and_help_need_no_agents() {
     for shell in ["bash", "zsh", "fish"] {
-        let finished = balancerctl(&["completions", shell]).await;
-        assert!(finished.status == ExitStatus::Success && finished.out.contains("cordon"), "{shell}");
+        let result = balancerctl(&["completions", shell]).await;
+        assert!(result.status == ExitStatus::Success && result.out.contains("cordon"), "{shell}");
     }
     assert_eq!(balancerctl(&["--help"]).await.status, ExitStatus::Success);
 }
