--- a/control/src/aggregate.rs
+++ b/control/src/aggregate.rs
@@ -74,9 +74,9 @@
     pub concurrency_limit: f64,
     /// Attempts in flight, at all agents.
     pub in_flight: u64,
-    /// Attempts sent completely, at all agents.
+    /// Attempts whose request was written completely, at all agents.
     pub sends: u64,
-    /// Attempts answered, at all agents.
+    /// Attempts with a successful response, at all agents.
     pub answered: u64,
     /// Attempts that failed: an error, no response in time, no connection or a broken one.
     pub failed: u64,
