--- a/control/src/admin_call.rs
+++ b/control/src/admin_call.rs
@@ -6,28 +6,28 @@
 /// The name of a renderer or a zone. It is not empty and has no white space or control characters, so it is always
 /// exactly one word of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Name(String);
+pub struct TargetName(String);
 
 /// The rejected text: as a name in a call's line it could turn that line into a different call.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{0:?} is not a valid name: expected a non-empty one without spaces or control characters")]
-pub struct InvalidName(String);
+pub struct InvalidTargetName(String);
 
-impl Name {
+impl TargetName {
     /// Validates a name.
     ///
     /// # Errors
     ///
-    /// [`InvalidName`] if it is empty or has white space or control characters.
-    pub fn parse(text: &str) -> Result<Self, InvalidName> {
+    /// [`InvalidTargetName`] if it is empty or has white space or control characters.
+    pub fn parse(text: &str) -> Result<Self, InvalidTargetName> {
         if text.is_empty() || text.contains(|c: char| c.is_whitespace() || c.is_control()) {
-            return Err(InvalidName(text.to_owned()));
+            return Err(InvalidTargetName(text.to_owned()));
         }
-        Ok(Name(text.to_owned()))
+        Ok(TargetName(text.to_owned()))
     }
 }
 
-impl fmt::Display for Name {
+impl fmt::Display for TargetName {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(&self.0)
     }
@@ -38,13 +38,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OperatorCommand {
     /// Send no new requests to a renderer.
-    Cordon(Name),
+    Cordon(TargetName),
     /// Use a renderer again.
-    Uncordon(Name),
+    Uncordon(TargetName),
     /// Send no new requests to any renderer of a zone.
-    LeaveZone(Name),
+    LeaveZone(TargetName),
     /// Use a zone again.
-    ReturnToZone(Name),
+    ReturnToZone(TargetName),
 }
 
 impl OperatorCommand {
--- a/control/src/commands.rs
+++ b/control/src/commands.rs
@@ -1,6 +1,6 @@
 //! Runs the commands: calls the agents, prints their answers and returns the exit status.
 
-use crate::admin_call::{Name, OperatorCommand};
+use crate::admin_call::{OperatorCommand, TargetName};
 use crate::agent_file::Agent;
 use crate::aggregate;
 use crate::arguments::{Arguments, Command, Options, ZoneAction};
@@ -75,22 +75,22 @@
         Command::Zones => Session::new(options, out, err)?.zones().await,
         Command::Cordon { renderer } => {
             let mut session = Session::new(options, out, err)?;
-            session.command(OperatorCommand::Cordon(Name::parse(renderer)?)).await
+            session.command(OperatorCommand::Cordon(TargetName::parse(renderer)?)).await
         }
         Command::Uncordon { renderer } => {
             let mut session = Session::new(options, out, err)?;
-            session.command(OperatorCommand::Uncordon(Name::parse(renderer)?)).await
+            session.command(OperatorCommand::Uncordon(TargetName::parse(renderer)?)).await
         }
         Command::Zone { action, zone } => {
             let mut session = Session::new(options, out, err)?;
-            let zone = Name::parse(zone)?;
+            let zone = TargetName::parse(zone)?;
             session.command(zone_command(*action, zone)).await
         }
         Command::Completions { shell } => print_completions(*shell, out),
     }
 }
 
-fn zone_command(action: ZoneAction, zone: Name) -> OperatorCommand {
+fn zone_command(action: ZoneAction, zone: TargetName) -> OperatorCommand {
     match action {
         ZoneAction::Leave => OperatorCommand::LeaveZone(zone),
         ZoneAction::Return => OperatorCommand::ReturnToZone(zone),
--- a/control/src/error.rs
+++ b/control/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors that end a run before or while it prints.
 
-use crate::admin_call::InvalidName;
+use crate::admin_call::InvalidTargetName;
 use crate::agent_file::AgentFileError;
 use thiserror::Error;
 
@@ -18,7 +18,7 @@
     AgentFile(#[from] AgentFileError),
     /// The name of a renderer or zone is not valid.
     #[error(transparent)]
-    InvalidName(#[from] InvalidName),
+    InvalidTargetName(#[from] InvalidTargetName),
     /// Writing to standard output failed.
     #[error("cannot write to standard output: {0}")]
     Print(#[source] std::io::Error),
