--- a/tests/long_bodies.rs
+++ b/tests/long_bodies.rs
@@ -1,5 +1,5 @@
-//! Guards requests whose bodies are passed on as they come: their time counts from their last byte, and what has gone
-//! out is not there to be sent again.
+//! Requests whose bodies are forwarded while they are being received: the time limits count from the last byte of the
+//! body, and a body that has been forwarded in part cannot be sent to another server.
 mod common;
 use balancer::*;
 use common::*;
@@ -11,6 +11,7 @@
     rig
 }
 
+/// Submits a request whose body is still being received. Returns its id, and the server that it was sent to.
 fn upload(rig: &mut Rig, id: u64) -> (RequestId, Option<ServerId>) {
     let id = RequestId(1_000_000 + id);
     let request = Request { uploading: true, ..Request::new(id, ClassId(0), Span::from_ms(800.0)) };
@@ -18,36 +19,40 @@
     (id, rig.sent_to(id))
 }
 
-/// The client sends for ten seconds, many latency objectives and deadlines: the server is not blamed, and the time begins then.
+/// The client sends for ten seconds, many times the latency objective and the deadline: this does not count against the
+/// server, and both limits count from the end of the body.
 #[test]
 fn the_time_of_a_long_body_counts_from_its_last_byte() {
     let mut rig = rig(Idempotency::AtMostOnce);
     let (id, sent) = upload(&mut rig, 0);
     assert!(sent.is_some());
     rig.notify(Event::BodyConsumed { request: id });
-    let quiet = rig.wait(Span::from_ms(10_000.0));
-    assert!(!quiet.iter().any(|a| matches!(a, Action::Log { .. } | Action::Cancel { .. })), "{quiet:?}");
+    let upload_actions = rig.wait(Span::from_ms(10_000.0));
+    assert!(
+        !upload_actions.iter().any(|a| matches!(a, Action::Log { .. } | Action::Cancel { .. })),
+        "{upload_actions:?}"
+    );
     assert_eq!(rig.balancer.endpoint_counts(rig.now).avoided, 0);
     rig.notify(Event::BodyComplete { request: id, time_left: Span::from_ms(800.0) });
     rig.wait(Span::from_ms(20.0));
     rig.respond(id, 0, Outcome::Success, 20.0);
-    // And one that the server then leaves unanswered is as unresponsive as any.
+    // A server that does not respond after the end of the body counts as unresponsive, as with any other request.
     let (id, _) = upload(&mut rig, 1);
     rig.wait(Span::from_ms(10_000.0));
     rig.notify(Event::BodyComplete { request: id, time_left: Span::from_ms(800.0) });
-    let unresponsive = rig.wait(Span::from_ms(790.0));
-    assert!(unresponsive.iter().any(|a| matches!(a, Action::Log { .. })), "{unresponsive:?}");
+    let late_actions = rig.wait(Span::from_ms(790.0));
+    assert!(late_actions.iter().any(|a| matches!(a, Action::Log { .. })), "{late_actions:?}");
     rig.respond(id, 0, Outcome::TimedOut, 800.0);
     assert!(failed(&rig.actions, id));
     rig.assert_invariants();
 }
 
-/// A server has nothing to do for requests that are still coming: they take none of its room.
+/// A server does no work for requests that are still being received: they do not count against its concurrency limit.
 #[test]
 fn a_body_that_is_being_received_takes_no_capacity() {
     let mut rig = rig(Idempotency::AtMostOnce);
     let ids: Vec<_> = (0..100).map(|i| upload(&mut rig, i)).collect();
-    assert!(ids.iter().all(|(_, sent)| sent.is_some()), "held back");
+    assert!(ids.iter().all(|(_, sent)| sent.is_some()), "a request was queued");
     for _ in 0..50 {
         assert!(rig.request_and_respond(5.0).is_some());
     }
@@ -63,20 +68,21 @@
     for idempotency in
         [Idempotency::Idempotent, deduplicated(DeduplicationScope::All, 5000.0), Idempotency::AtMostOnce]
     {
-        // Nothing of it has been read: the next server gets it.
+        // No part of the body has been read: the request is sent to another server.
         let mut rig = rig(idempotency);
         let (id, sent) = upload(&mut rig, 0);
         rig.wait(Span::from_ms(2000.0));
         rig.respond(id, 0, Outcome::ConnectFailed, 1.0);
-        let again = rig.sent_to(id);
-        assert!(again.is_some() && again != sent, "{idempotency:?}");
-        // A part of it has: nobody can have it, and as it never ran, that is a rejection.
+        let retry_server = rig.sent_to(id);
+        assert!(retry_server.is_some() && retry_server != sent, "{idempotency:?}");
+        // A part of the body has been read: the request cannot be sent again, and as it was never executed, it is
+        // rejected.
         rig.notify(Event::BodyConsumed { request: id });
         rig.wait(Span::from_ms(2000.0));
         rig.respond(id, 1, Outcome::ConnectFailed, 1.0);
         assert_eq!(rig.sent_to(id), None, "{idempotency:?}");
         assert!(rejected(&rig.actions, id), "{idempotency:?}");
-        // Whole, and turned away unseen.
+        // The body is complete, and the server rejects the request without executing it.
         let (id, _) = upload(&mut rig, 1);
         rig.notify(Event::BodyConsumed { request: id });
         rig.notify(Event::BodyComplete { request: id, time_left: Span::from_ms(800.0) });
--- a/tests/memory_does_not_grow.rs
+++ b/tests/memory_does_not_grow.rs
@@ -1,10 +1,10 @@
-//! Guards against records that outlive their requests: memory must not grow with requests served.
+//! Records of finished requests must be released: memory must not grow with the number of requests served.
 mod common;
 use balancer::*;
 use common::*;
 
-/// Resident memory of this process in KiB; `None` where the system does not say.
-fn resident() -> Option<u64> {
+/// Resident memory of this process in KiB; `None` if the system does not report it.
+fn resident_memory_kib() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
     text.lines().find(|l| l.starts_with("VmRSS"))?.split_whitespace().nth(1)?.parse().ok()
 }
@@ -38,8 +38,8 @@
         }
     };
     serve(0, 50_000);
-    let Some(before) = resident() else { return };
+    let Some(before_kib) = resident_memory_kib() else { return };
     serve(50_000, 400_000);
-    let grown = resident().expect("told before").saturating_sub(before);
-    assert!(grown < 16 * 1024, "{grown} KiB more after 400,000 further requests");
+    let growth_kib = resident_memory_kib().expect("it could be read before").saturating_sub(before_kib);
+    assert!(growth_kib < 16 * 1024, "{growth_kib} KiB of growth after 400,000 further requests");
 }
--- a/tests/partial_endpoint_lists.rs
+++ b/tests/partial_endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! An answer that is taken in in parts says what it says at once, however it is cut.
+//! An endpoint list that is received in parts has the same effect as the whole list, wherever it is split.
 #![allow(missing_docs)]
 
 mod common;
@@ -14,32 +14,32 @@
 
 #[test]
 fn a_list_in_parts_has_the_effect_of_the_whole_list() {
-    let mut lines = fleet(12, 3, 3);
-    lines.remove(2);
-    for (line, status) in lines.iter_mut().zip([Status::Draining, Status::Gone, Status::Serving]) {
-        line.status = status;
+    let mut endpoints = fleet(12, 3, 3);
+    endpoints.remove(2);
+    for (endpoint, status) in endpoints.iter_mut().zip([Status::Draining, Status::Gone, Status::Serving]) {
+        endpoint.status = status;
     }
     let mut whole = rig();
-    whole.notify(Event::Endpoints(EndpointUpdate::Changes(lines.clone())));
+    whole.notify(Event::Endpoints(EndpointUpdate::Changes(endpoints.clone())));
     for size in [1, 2, 5, 11] {
         let mut parts = rig();
-        for part in lines.chunks(size) {
+        for part in endpoints.chunks(size) {
             parts.notify(Event::Endpoints(EndpointUpdate::Partial(part.to_vec())));
         }
         assert_eq!(
             parts.balancer.server_views(parts.now),
             whole.balancer.server_views(whole.now),
-            "parts of {size}"
+            "parts of {size} entries"
         );
         let before = parts.balancer.endpoint_counts(parts.now);
         parts.notify(Event::Endpoints(EndpointUpdate::Changes(Vec::new())));
-        assert_eq!(parts.balancer.endpoint_counts(parts.now), before, "its end adds nothing");
+        assert_eq!(parts.balancer.endpoint_counts(parts.now), before, "the end of the list changes nothing");
     }
-    // What drains by a part gets nothing more, whatever becomes of the rest.
-    let mut torn = rig();
-    torn.notify(Event::Endpoints(EndpointUpdate::Partial(lines[..1].to_vec())));
-    torn.notify(Event::Endpoints(EndpointUpdate::Unusable));
+    // A server that a part reports as draining gets no further requests, even if the rest of the list is unusable.
+    let mut incomplete = rig();
+    incomplete.notify(Event::Endpoints(EndpointUpdate::Partial(endpoints[..1].to_vec())));
+    incomplete.notify(Event::Endpoints(EndpointUpdate::Unusable));
     for _ in 0..50 {
-        assert_ne!(torn.request(0).1, Some(lines[0].server));
+        assert_ne!(incomplete.request(0).1, Some(endpoints[0].server));
     }
 }
--- a/tests/polling.rs
+++ b/tests/polling.rs
@@ -1,4 +1,4 @@
-//! Many balancers ask one discovery service, which serves them in turn and gives up what waits too long.
+//! Many balancers poll one discovery service, which serves calls one after another and drops those that wait too long.
 
 mod common;
 
@@ -17,61 +17,64 @@
     (0..u64::from(BALANCERS)).map(|seed| Rig::new(settings.clone(), seed)).collect()
 }
 
+/// Number of discovery calls among the actions.
 fn calls(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Watch { active: true } | Action::FetchEndpoints)).count()
 }
 
-/// All ended in a release and started again: their calls at one time left none of them served for ten seconds.
+/// A release restarts all balancers. When all of them called at the same time, none was served for ten seconds.
 #[test]
 fn balancers_that_start_together_do_not_poll_together() {
     let mut rigs = rigs();
-    let max_concurrent_requests: usize = rigs.iter().map(|rig| calls(&rig.actions)).sum();
-    assert!(max_concurrent_requests <= 5, "{max_concurrent_requests} calls at the start");
+    let calls_at_start: usize = rigs.iter().map(|rig| calls(&rig.actions)).sum();
+    assert!(calls_at_start <= 5, "{calls_at_start} calls at the start");
     let slice = Span::from_ms(500.0);
     let counts: Vec<usize> =
         (0..20).map(|_| rigs.iter_mut().map(|rig| calls(&rig.wait(slice))).sum()).collect();
-    assert_eq!(counts.iter().sum::<usize>(), BALANCERS as usize, "each asks once: {counts:?}");
-    let most = counts.iter().max().expect("counts");
-    assert!(*most <= 25, "calls bunch: {counts:?}");
-    assert_eq!(counts[10..].iter().sum::<usize>(), 0, "all have asked within half of the limit: {counts:?}");
+    assert_eq!(counts.iter().sum::<usize>(), BALANCERS as usize, "each balancer calls once: {counts:?}");
+    let max = counts.iter().max().expect("counts");
+    assert!(*max <= 25, "calls are not spread out: {counts:?}");
+    assert_eq!(counts[10..].iter().sum::<usize>(), 0, "all calls are within the first 5 s: {counts:?}");
 }
 
-/// A service that refuses all is not asked in bunches, and each balancer asks again early enough to hear what it has within
-/// the 6 s after which that counts as received, a second for the call included.
+/// If the service rejects all calls, the retries are spread out. Each balancer retries early enough to receive an
+/// update within the 6 s after which it counts as received, including a second for the call itself.
 #[test]
 fn balancers_whose_polls_fail_together_do_not_retry_together() {
     let mut rigs = rigs();
-    let mut failed: Vec<Option<Time>> = vec![None; rigs.len()];
-    for (rig, failed) in rigs.iter_mut().zip(&mut failed).filter(|(rig, _)| calls(&rig.actions) > 0) {
+    let mut last_failure: Vec<Option<Time>> = vec![None; rigs.len()];
+    for (rig, last_failure) in
+        rigs.iter_mut().zip(&mut last_failure).filter(|(rig, _)| calls(&rig.actions) > 0)
+    {
         rig.notify(Event::Endpoints(EndpointUpdate::Failed));
-        *failed = Some(rig.now);
+        *last_failure = Some(rig.now);
     }
     let slice = Span::from_ms(500.0);
     let mut counts = Vec::new();
     for _ in 0..40 {
-        let mut all = 0;
-        for (rig, failed) in rigs.iter_mut().zip(&mut failed) {
-            let asked = calls(&rig.wait(slice));
-            all += asked;
-            if asked > 0 {
+        let mut slice_calls = 0;
+        for (rig, last_failure) in rigs.iter_mut().zip(&mut last_failure) {
+            let new_calls = calls(&rig.wait(slice));
+            slice_calls += new_calls;
+            if new_calls > 0 {
                 rig.notify(Event::Endpoints(EndpointUpdate::Failed));
-                *failed = Some(rig.now);
+                *last_failure = Some(rig.now);
             }
-            let unresponsive = failed.map_or(Span::ZERO, |at| rig.now.since(at));
+            let since_failure = last_failure.map_or(Span::ZERO, |at| rig.now.since(at));
             assert!(
-                unresponsive < Span::from_ms(5600.0),
-                "it has not asked for {unresponsive:?}, a slice included"
+                since_failure < Span::from_ms(5600.0),
+                "no call for {since_failure:?}, including one slice"
             );
         }
-        counts.push(all);
+        counts.push(slice_calls);
     }
-    let most = counts.iter().max().expect("counts");
-    assert!(*most <= 25, "calls bunch: {counts:?}");
-    let asked: usize = counts.iter().sum();
-    assert!((400..=700).contains(&asked), "{asked} calls in 20 s: {counts:?}");
+    let max = counts.iter().max().expect("counts");
+    assert!(*max <= 25, "calls are not spread out: {counts:?}");
+    let new_calls: usize = counts.iter().sum();
+    assert!((400..=700).contains(&new_calls), "{new_calls} calls in 20 s: {counts:?}");
 }
 
-/// A few balancers are no crowd.
+/// A few balancers do not overload the discovery service by polling at the same time.
 #[test]
 fn a_few_balancers_poll_at_once() {
     let settings = Settings {
@@ -83,8 +86,9 @@
     assert_eq!(calls(&Rig::new(settings, 1).actions), 1);
 }
 
-/// Pushed updates lie beside each balancer and count as received at once, so a watch that broke is opened anew within the time in
-/// which a server that drains must be left, after each failure and however many balancers there are.
+/// The source of pushed updates is local to each balancer, and its updates count as received at once. A broken watch
+/// is therefore reopened within the time limit for no longer using a draining server, after each failure and for any
+/// number of balancers.
 #[test]
 fn a_broken_watch_for_pushed_updates_is_reopened_at_once() {
     let settings =
@@ -96,28 +100,32 @@
     }
 }
 
-/// An answer that was of no use is asked for in pauses that double up to what the site asks, also where updates are pushed, and
-/// entries of an answer that then comes to nothing do not shorten them. One that ends as it should does.
+/// After unusable responses, the poll interval doubles up to the maximum that the site sets, also if updates are
+/// pushed. Entries of a response that then turns out to be unusable do not reset the interval; a complete response
+/// does.
 #[test]
 fn unusable_responses_are_polled_less_and_less() {
     let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
-    let most = settings.max_poll_interval;
+    let max = settings.max_poll_interval;
     let mut rig = Rig::new(settings, 3);
-    let pause = |rig: &mut Rig| {
+    let poll_interval = |rig: &mut Rig| {
         rig.notify(Event::Endpoints(EndpointUpdate::Partial(vec![Endpoint::serving(ServerId(1))])));
         rig.notify(Event::Endpoints(EndpointUpdate::Unusable));
         let (from, tick) = (rig.now, Span::from_ms(50.0));
         while calls(&rig.wait(tick)) == 0 {
-            assert!(rig.now.since(from) <= most * 2.0, "it is never asked again");
+            assert!(rig.now.since(from) <= max * 2.0, "it does not poll again");
         }
         rig.now.since(from).as_ms()
     };
-    let pauses: Vec<f64> = (0..12).map(|_| pause(&mut rig)).collect();
-    // Each is spread over a half to one and a half of what it is on the mean, and seen to a tick or two.
-    for (doubled, is) in pauses.iter().enumerate() {
-        let mean = (200.0 * 2f64.powi(doubled as i32)).min(most.as_ms());
-        assert!((0.5 * mean..=1.5 * mean + 100.0).contains(is), "pause {doubled} of {pauses:?}");
+    let poll_intervals: Vec<f64> = (0..12).map(|_| poll_interval(&mut rig)).collect();
+    // Each interval is random within 0.5 to 1.5 of its mean, and measured to within two ticks.
+    for (doublings, interval) in poll_intervals.iter().enumerate() {
+        let mean = (200.0 * 2f64.powi(doublings as i32)).min(max.as_ms());
+        assert!(
+            (0.5 * mean..=1.5 * mean + 100.0).contains(interval),
+            "interval {doublings} of {poll_intervals:?}"
+        );
     }
     rig.notify(Event::Endpoints(EndpointUpdate::Changes(Vec::new())));
-    assert!(pause(&mut rig) <= 400.0, "the pauses begin anew");
+    assert!(poll_interval(&mut rig) <= 400.0, "the intervals start again from the shortest");
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,35 +1,36 @@
-//! Guards against settings that lack what a decision could use, and against ones that no decision can use.
+//! Optional settings may be missing, and invalid settings are reported as errors.
 mod common;
 use balancer::*;
 use common::*;
 
 #[test]
 fn impossible_settings_are_errors_and_not_panics() {
-    let with = |change: fn(&mut Settings)| {
+    let error_with = |change: fn(&mut Settings)| {
         let mut settings = Settings::default();
         change(&mut settings);
         Balancer::new(settings, 1).err()
     };
-    assert_eq!(with(|s| s.classes.clear()), Some(SettingsError::NoClasses));
-    assert_eq!(with(|s| s.max_attempts = 0), Some(SettingsError::NoAttempts));
+    assert_eq!(error_with(|s| s.classes.clear()), Some(SettingsError::NoClasses));
+    assert_eq!(error_with(|s| s.max_attempts = 0), Some(SettingsError::NoAttempts));
     assert_eq!(
-        with(|s| s.classes[0].latency_objective = Span::ZERO),
+        error_with(|s| s.classes[0].latency_objective = Span::ZERO),
         Some(SettingsError::ZeroSpan { setting: "latency_objective" })
     );
     assert_eq!(
-        with(|s| s.classes[0].deadline = Span::ZERO),
+        error_with(|s| s.classes[0].deadline = Span::ZERO),
         Some(SettingsError::ZeroSpan { setting: "deadline" })
     );
-    assert!(matches!(with(|s| s.initial_capacity = f64::NAN), Some(SettingsError::BadNumber { .. })));
-    assert!(matches!(with(|s| s.overload_factor = -1.0), Some(SettingsError::BadNumber { .. })));
+    assert!(matches!(error_with(|s| s.initial_capacity = f64::NAN), Some(SettingsError::BadNumber { .. })));
+    assert!(matches!(error_with(|s| s.overload_factor = -1.0), Some(SettingsError::BadNumber { .. })));
     assert!(matches!(
-        with(|s| s.classes[0].priority_weight = f64::INFINITY),
+        error_with(|s| s.classes[0].priority_weight = f64::INFINITY),
         Some(SettingsError::BadNumber { .. })
     ));
-    assert_eq!(with(|_| ()), None);
+    assert_eq!(error_with(|_| ()), None);
 }
 
-/// No reports, keys, tenants, health checks, cancels or advice, and no goal to speak of: requests are served all the same.
+/// Without load reports, affinity keys, tenants, health checks, cancellation, retry-after advice or a goal, requests
+/// are still served.
 #[test]
 fn a_class_is_all_that_settings_need() {
     let settings = Settings {
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! Guards what one balancer learns from another: it goes on where that one was, and takes no nonsense.
+//! Snapshots: a balancer continues with the state of an earlier one, and ignores implausible values.
 mod common;
 use balancer::*;
 use common::*;
@@ -11,11 +11,12 @@
     rig
 }
 
-/// Requests that are sent at once and stay out, of a hundred.
-fn burst(rig: &mut Rig) -> usize {
+/// Submits a hundred requests that are not answered. Returns how many were sent at once.
+fn send_burst(rig: &mut Rig) -> usize {
     (0..100).filter(|_| rig.request(0).1.is_some()).count()
 }
 
+/// The snapshot of a balancer that has served up to 12 concurrent requests at a time, 60 times.
 fn learned_snapshot() -> Snapshot {
     let mut rig = rig(3);
     for _ in 0..60 {
@@ -31,62 +32,63 @@
 
 #[test]
 fn a_balancer_continues_from_a_snapshot_of_another() {
-    let fresh = burst(&mut rig(4));
-    let mut next = rig(4);
-    next.notify(Event::Restore(learned_snapshot()));
-    let restored = burst(&mut next);
+    let fresh = send_burst(&mut rig(4));
+    let mut restored_rig = rig(4);
+    restored_rig.notify(Event::Restore(learned_snapshot()));
+    let restored = send_burst(&mut restored_rig);
     assert!(restored > fresh + 4, "{restored} at once, {fresh} without a snapshot");
-    next.assert_invariants();
+    restored_rig.assert_invariants();
 }
 
 #[test]
 fn a_restarted_and_an_ejected_server_are_restored_differently() {
     let mut snapshot = learned_snapshot();
     let limit = |rig: &Rig| rig.balancer.snapshot(rig.now).servers[1].limit;
-    let mut next = rig(4);
-    let before = limit(&next);
+    let mut restored_rig = rig(4);
+    let before = limit(&restored_rig);
     snapshot.servers[1].started = Some(Time(5));
     snapshot.servers[2].is_ejected = true;
-    next.notify(Event::Restore(snapshot));
-    assert_eq!(limit(&next), before, "it was another process");
-    assert_eq!(next.balancer.endpoint_counts(next.now).avoided, 1);
+    restored_rig.notify(Event::Restore(snapshot));
+    assert_eq!(limit(&restored_rig), before, "the limit was learned from an earlier process of the server");
+    assert_eq!(restored_rig.balancer.endpoint_counts(restored_rig.now).avoided, 1);
 }
 
 #[test]
 fn implausible_values_are_not_restored() {
-    for odd in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300] {
+    for value in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300] {
         let mut snapshot = learned_snapshot();
-        (snapshot.admission_level, snapshot.median_latency, snapshot.warm_sent) = (odd, odd, odd);
-        snapshot.class_latencies = vec![odd; 3];
+        (snapshot.admission_level, snapshot.median_latency, snapshot.warm_sent) = (value, value, value);
+        snapshot.class_latencies = vec![value; 3];
         for server in &mut snapshot.servers {
-            (server.limit, server.slowdown, server.latency, server.warming_sent) = (odd, odd, odd, odd);
+            (server.limit, server.slowdown, server.latency, server.warming_sent) =
+                (value, value, value, value);
         }
         snapshot.servers[0].server = ServerId(99);
-        let mut next = rig(4);
-        next.notify(Event::Restore(snapshot));
+        let mut restored_rig = rig(4);
+        restored_rig.notify(Event::Restore(snapshot));
         for _ in 0..50 {
-            assert!(next.request_and_respond(20.0).is_some(), "{odd}");
+            assert!(restored_rig.request_and_respond(20.0).is_some(), "{value}");
         }
-        next.assert_invariants();
+        restored_rig.assert_invariants();
     }
 }
 
-/// What is left for the next one is bounded however many servers there are, and it is of those that were met last.
+/// The size of a snapshot is bounded for any number of servers, and it contains those that responded last.
 #[test]
 fn a_snapshot_has_the_servers_that_responded_last() {
     let settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut rig = Rig::new(settings, 5);
     rig.set_endpoints(fleet(5000, 5, 5));
-    let mut met = Vec::new();
-    while met.len() < 2000 {
+    let mut sent_servers = Vec::new();
+    while sent_servers.len() < 2000 {
         let (id, sent) = rig.request(0);
-        met.extend(sent);
+        sent_servers.extend(sent);
         rig.wait(Span::from_ms(1.0));
         rig.respond(id, 0, Outcome::Success, 1.0);
     }
     let servers = rig.balancer.snapshot(rig.now).servers;
     assert_eq!(servers.len(), 1024);
-    // A thousand sends meet at most so many: all of them must be there.
+    // The last 1000 sends reach at most 1000 servers, fewer than the snapshot has: all of them must be in it.
     let servers: BTreeSet<ServerId> = servers.iter().map(|server| server.server).collect();
-    assert!(met[1000..].iter().all(|server| servers.contains(server)));
+    assert!(sent_servers[1000..].iter().all(|server| servers.contains(server)));
 }
--- a/tests/unusable_endpoint_lists.rs
+++ b/tests/unusable_endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Pauses before the list is asked for again: an answer of no use is not asked for three times a second for ever.
+//! Backoff of discovery calls: after unusable responses, a balancer must not keep calling three times a second.
 mod common;
 use balancer::*;
 use common::*;
@@ -10,46 +10,46 @@
     rig
 }
 
-/// How long it takes to ask again after each of these, in milliseconds.
-fn pauses(rig: &mut Rig, update: &EndpointUpdate, times: usize) -> Vec<f64> {
-    let mut pause = || {
+/// Applies an update `times` times, and returns how long the balancer waits before the next call each time, in ms.
+fn backoffs(rig: &mut Rig, update: &EndpointUpdate, times: usize) -> Vec<f64> {
+    let mut backoff = || {
         rig.notify(Event::Endpoints(update.clone()));
         let from = rig.now;
         while !rig.wait(Span::from_ms(10.0)).iter().any(|a| matches!(a, Action::Watch { active: true })) {
-            assert!(rig.now.since(from) < Span::from_ms(60_000.0), "it never asks again");
+            assert!(rig.now.since(from) < Span::from_ms(60_000.0), "it does not call again");
         }
         rig.now.since(from).as_ms()
     };
-    (0..times).map(|_| pause()).collect()
+    (0..times).map(|_| backoff()).collect()
 }
 
 #[test]
 fn the_backoff_grows_where_responses_are_unusable() {
     for discovery in [Discovery::Pushed, Discovery::Polled] {
         let mut rig = rig(discovery);
-        let pauses = pauses(&mut rig, &EndpointUpdate::Unusable, 10);
-        // Each pause lies between half and one and a half of its figure, and a tick later at most.
-        assert!(pauses[0] <= 360.0, "{discovery:?}: {pauses:?}");
-        for (i, pause) in pauses.iter().enumerate() {
-            let figure = (200.0 * 2f64.powi(i as i32)).min(10_000.0);
-            let within = 0.5 * figure..=1.5 * figure + 60.0;
-            assert!(within.contains(pause), "{discovery:?}, pause {i} of {figure} ms: {pauses:?}");
+        let backoffs = backoffs(&mut rig, &EndpointUpdate::Unusable, 10);
+        // Each backoff is random within 0.5 to 1.5 of its mean, and measured to within a tick.
+        assert!(backoffs[0] <= 360.0, "{discovery:?}: {backoffs:?}");
+        for (i, backoff) in backoffs.iter().enumerate() {
+            let mean = (200.0 * 2f64.powi(i as i32)).min(10_000.0);
+            let within = 0.5 * mean..=1.5 * mean + 60.0;
+            assert!(within.contains(backoff), "{discovery:?}, backoff {i}, mean {mean} ms: {backoffs:?}");
         }
-        // What was known stands, and an update that can be used ends it.
+        // The known list stays in use, and a usable update resets the backoff.
         assert!(rig.request(0).1.is_some());
         rig.set_endpoints(fleet(6, 2, 2));
-        let again = self::pauses(&mut rig, &EndpointUpdate::Unusable, 1);
-        assert!(again[0] <= 360.0, "{discovery:?}: {again:?}");
+        let after_reset = self::backoffs(&mut rig, &EndpointUpdate::Unusable, 1);
+        assert!(after_reset[0] <= 360.0, "{discovery:?}: {after_reset:?}");
     }
 }
 
-/// After silence and rejection the next call is over before what discovery has counts as received, 6 s after it could be reached.
-/// Where updates are pushed the source lies beside, and is asked soon.
+/// An update counts as received 6 s after discovery became reachable. After timeouts and rejections, the next call
+/// must be finished by then. The source of pushed updates is local, and is called again soon.
 #[test]
 fn the_backoff_stays_short_where_pushed_lists_only_fail() {
-    let pushed = pauses(&mut rig(Discovery::Pushed), &EndpointUpdate::Failed, 10);
-    assert!(pushed.iter().all(|pause| (100.0..=360.0).contains(pause)), "{pushed:?}");
-    let asked = pauses(&mut rig(Discovery::Polled), &EndpointUpdate::Failed, 8);
-    assert!(asked[7] >= 1600.0, "they have grown: {asked:?}");
-    assert!(asked.iter().all(|pause| *pause <= 5060.0), "{asked:?}");
+    let pushed = backoffs(&mut rig(Discovery::Pushed), &EndpointUpdate::Failed, 10);
+    assert!(pushed.iter().all(|backoff| (100.0..=360.0).contains(backoff)), "{pushed:?}");
+    let polled = backoffs(&mut rig(Discovery::Polled), &EndpointUpdate::Failed, 8);
+    assert!(polled[7] >= 1600.0, "the backoff has grown: {polled:?}");
+    assert!(polled.iter().all(|backoff| *backoff <= 5060.0), "{polled:?}");
 }
