--- a/agent/src/endpoint_list/entry.rs
+++ b/agent/src/endpoint_list/entry.rs
@@ -1,4 +1,4 @@
-//! One entry of the endpoint list: a server, and what may be wrong with how it is written.
+//! One entry of the endpoint list: parsing and validation of the description of a server.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -6,36 +6,36 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The weight of a server whose entry gives none.
+/// Weight of a server whose entry has none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// One server.
+/// A server as its entry describes it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Host {
-    /// Its name, the same at every agent.
+pub struct ServerEntry {
+    /// The server's name, which is the same for every agent.
     pub name: String,
-    /// Where this agent connects to it; the entry of a removed server may lack it.
+    /// Address that this agent connects to; it may be missing unless the server is up.
     pub dial: Option<SocketAddr>,
-    /// The name of its zone.
+    /// Name of its zone; empty if the entry has none.
     pub zone: String,
-    /// Its kind of machine.
+    /// Its kind of machine; empty if the entry has none.
     pub kind: String,
-    /// Its cell.
+    /// Number of its cell; 0 if the entry has none.
     pub cell: u32,
     /// Whether it accepts requests.
     pub health: Health,
-    /// Its weight against servers of its kind; 1 unless the entry says otherwise.
+    /// Weight relative to other servers of its kind; 1 if the entry has none.
     pub weight: f64,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// Time of its last start, in Unix milliseconds; 0, also if the entry has none, means long ago.
     pub born_ms: f64,
 }
 
 /// Whether a server accepts requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// It does.
+    /// It accepts requests.
     Up,
-    /// It finishes the requests that it has.
+    /// It completes the requests that it has and accepts no others.
     Draining,
     /// It is no longer a part of the service.
     Removed,
@@ -52,44 +52,45 @@
     }
 }
 
-/// An entry that is ignored.
+/// An entry that is ignored because it is invalid.
 #[derive(Debug, Error)]
 #[error("entry {index}: {source}")]
 pub struct InvalidEntry {
-    /// Its place in the answer, from 0.
+    /// Index of the entry in the answer, from 0.
     pub index: usize,
-    /// The name of its server, if that can be read.
+    /// Name of its server, if the entry has a valid one.
     pub name: Option<String>,
-    /// What is wrong with it.
+    /// Why it is invalid.
     pub source: EntryError,
 }
 
-/// What is wrong with an entry.
+/// Why an entry is invalid.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// It is no JSON.
+    /// The entry is not valid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A value is missing or of no use.
+    /// A required value is missing or invalid.
     #[error("{key} is {found}, {expected} was expected")]
     Value {
-        /// Its key.
+        /// Key of the value.
         key: &'static str,
-        /// The value as JSON, shortened; or that it is missing.
+        /// The value as JSON, cut to 80 characters, or `missing`.
         found: String,
-        /// What is allowed there.
+        /// Description of the allowed values.
         expected: &'static str,
     },
 }
 
 impl EntryError {
-    fn value(entry: &Value, key: &'static str, expected: &'static str) -> Self {
+    fn invalid_value(entry: &Value, key: &'static str, expected: &'static str) -> Self {
         let found = entry.get(key).map(|value| format!("{:.80}", value.to_string()));
         EntryError::Value { key, found: found.unwrap_or_else(|| "missing".to_owned()), expected }
     }
 }
 
-/// An entry in which everything is valid; any other is read value by value, which tells what is wrong.
+/// An entry whose values all have the expected types. Any other is read value by value by [`server_entry_from_values`], which
+/// replaces invalid optional values by their defaults and names the required value that is invalid.
 #[derive(Deserialize)]
 struct ValidEntry<'a> {
     #[serde(borrow)]
@@ -107,10 +108,10 @@
 }
 
 impl ValidEntry<'_> {
-    fn into_host(self) -> Option<Host> {
+    fn into_server_entry(self) -> Option<ServerEntry> {
         let health = Health::parse(&self.health)?;
         let is_valid = !self.host.is_empty() && (self.dial.is_some() || health != Health::Up);
-        is_valid.then(|| Host {
+        is_valid.then(|| ServerEntry {
             name: self.host.into_owned(),
             dial: self.dial,
             zone: self.site.into_owned(),
@@ -123,13 +124,15 @@
     }
 }
 
-/// Reads the entry at `index` of an answer from its JSON text.
+/// Parses the entry at `index` of an answer from its JSON text.
 ///
 /// # Errors
 ///
-/// It is no JSON, has no name, no known health, or no address though it accepts requests.
-pub fn read_entry(index: usize, text: &str) -> Result<Host, InvalidEntry> {
-    if let Some(host) = serde_json::from_str::<ValidEntry>(text).ok().and_then(ValidEntry::into_host) {
+/// If the text is not JSON, the name is missing, the health is missing or unknown, or the server is up and has no valid
+/// address.
+pub fn read_entry(index: usize, text: &str) -> Result<ServerEntry, InvalidEntry> {
+    if let Some(host) = serde_json::from_str::<ValidEntry>(text).ok().and_then(ValidEntry::into_server_entry)
+    {
         return Ok(host);
     }
     let entry: Value = serde_json::from_str(text).map_err(|error| InvalidEntry {
@@ -137,16 +140,16 @@
         name: None,
         source: EntryError::Json(error),
     })?;
-    host_from_values(&entry).map_err(|source| {
+    server_entry_from_values(&entry).map_err(|source| {
         let name = entry.get("host").and_then(Value::as_str).filter(|name| !name.is_empty());
         InvalidEntry { index, name: name.map(str::to_owned), source }
     })
 }
 
-fn host_from_values(entry: &Value) -> Result<Host, EntryError> {
+fn server_entry_from_values(entry: &Value) -> Result<ServerEntry, EntryError> {
     let text = |key: &str| entry.get(key).and_then(Value::as_str);
     let number = |key: &str| entry.get(key).and_then(Value::as_f64);
-    let invalid = |key, expected| EntryError::value(entry, key, expected);
+    let invalid = |key, expected| EntryError::invalid_value(entry, key, expected);
     let name = text("host").filter(|name| !name.is_empty()).ok_or_else(|| invalid("host", "a name"))?;
     let health =
         text("health").and_then(Health::parse).ok_or_else(|| invalid("health", "up, draining or removed"))?;
@@ -155,7 +158,7 @@
         return Err(invalid("dial", "an address"));
     }
     let cell = entry.get("block").and_then(Value::as_u64).and_then(|cell| u32::try_from(cell).ok());
-    Ok(Host {
+    Ok(ServerEntry {
         name: name.to_owned(),
         dial,
         zone: text("site").unwrap_or_default().to_owned(),
--- a/agent/src/upstream/discovery/call.rs
+++ b/agent/src/upstream/discovery/call.rs
@@ -1,6 +1,6 @@
 //! A call to discovery: its connection, its request and the response, which is parsed while it arrives.
 
-use crate::endpoint_list::{Envelope, Host, InvalidEntry, ListError, Reader};
+use crate::endpoint_list::{Envelope, InvalidEntry, ListError, Reader, ServerEntry};
 use crate::traffic::socket::Socket;
 use crate::upstream::discovery::errors::CallError;
 use bytes::Bytes;
@@ -35,7 +35,7 @@
     /// A call has started; entries of an earlier, incomplete response must be discarded.
     CallStarted,
     /// Entries of a response that is still being received, at most [`MAX_ENTRIES_PER_STEP`].
-    Entries(Vec<Result<Host, InvalidEntry>>),
+    Entries(Vec<Result<ServerEntry, InvalidEntry>>),
     /// The response is complete.
     Complete(Envelope),
     /// The listener had more to apply than fits into one step: the next step is due.
