--- a/tests/zone_preference.rs
+++ b/tests/zone_preference.rs
@@ -19,8 +19,8 @@
     server.is_some_and(|server| server.0 % 4 == 0)
 }
 
-/// With three to four requests in flight, some of the five servers of the own zone are idle. Three random draws among
-/// four zones often contained none of them.
+/// Three requests are in flight at each selection, so that at least two of the five servers of the own zone are idle.
+/// Three random draws among four zones often contained none of the own zone.
 #[test]
 fn an_idle_near_server_is_found() {
     let mut rig = rig(0.1, 7);
@@ -75,7 +75,7 @@
             outside_region += u32::from(server.is_some_and(|server| server.0 % 4 >= 2));
             rig.wait(Span::from_ms(10.0));
             in_flight.push_back(id);
-            // Up to eight requests stay in flight, and the own zone has five servers.
+            // Eight requests are in flight at each selection, and the own zone has five servers.
             if in_flight.len() > 8 {
                 let first = in_flight.pop_front().expect("a request is in flight");
                 rig.respond(first, 0, Outcome::Success, 80.0);
