--- a/agent/src/log/tests.rs
+++ b/agent/src/log/tests.rs
@@ -118,6 +118,7 @@
 /// When the reader has stopped, lines over the queue's capacity are left out, and writing them does not block.
 #[test]
 fn writing_a_line_does_not_wait_for_the_reader() {
+    let _lock = LEFT_OUT_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let (queue, lines) = sync_channel::<LogMessage>(MAX_QUEUED_LINES);
     let subscriber =
         format("", "").expect("a format").subscriber(LineWriter(queue.clone()), LineRateLimit::new());
