--- a/agent/src/upstream/discovery.rs
+++ b/agent/src/upstream/discovery.rs
@@ -15,12 +15,11 @@
 
 /// How long after a watch falls silent the agent counts as notified of the changes that it missed (the operators' page
 /// of standing rules). A new watch must have delivered them by then.
-const SILENT_WATCH_GRACE_PERIOD: Duration = Duration::from_secs(6);
+const SILENT_WATCH_GRACE: Duration = Duration::from_secs(6);
 /// How long discovery may hold a watch's call open while nothing changes. With [`SILENCE_TIMEOUT`] it is half of the
 /// grace period, so that a silent watch and a silent replacement are both detected within it. Discovery answers the
 /// watches that all agents reopen one after the other, which takes the rest of that time.
-const WATCH_WAIT: Duration =
-    SILENT_WATCH_GRACE_PERIOD.checked_div(2).unwrap().saturating_sub(SILENCE_TIMEOUT);
+const WATCH_WAIT: Duration = SILENT_WATCH_GRACE.checked_div(2).unwrap().saturating_sub(SILENCE_TIMEOUT);
 
 /// Calls discovery, with at most one watch and one fetch of the complete list at a time.
 pub struct DiscoveryClient {
