--- a/agent/src/process.rs
+++ b/agent/src/process.rs
@@ -196,7 +196,7 @@
             sleep(FLUSH_TIME).await;
         }
         sleep(FLUSH_TIME).await;
-        tracing::info!(target: "process", "{}: shutdown complete", self.name);
+        tracing::info!(target: "process", "{}: all is answered", self.name);
     }
 }
 
--- a/agent/src/upstream/discovery/errors.rs
+++ b/agent/src/upstream/discovery/errors.rs
@@ -17,7 +17,7 @@
     #[error("no response in time")]
     ResponseTimeout,
     /// The response body paused for too long or arrived too slowly.
-    #[error("no complete response in time")]
+    #[error("no whole answer in time")]
     BodyTimeout,
     /// The connection broke, or the response is not valid HTTP.
     #[error("HTTP error: {0:.80}")]
--- a/agent/src/upstream/errors.rs
+++ b/agent/src/upstream/errors.rs
@@ -62,7 +62,7 @@
     #[error("called off")]
     Cancelled,
     /// When its connection was ready, the request was no longer needed, or the server had a new process or address.
-    #[error("obsolete when the connection was ready")]
+    #[error("too late to begin")]
     Obsolete,
     /// Its exchange failed.
     #[error(transparent)]
