--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn an_unresponsive_zone_is_first_phase_change_at_once_and_recovers_in_steps() {
+fn an_unresponsive_zone_is_evacuated_at_once_and_recovers_in_steps() {
     let mut simulation = four_zones(settings(4), 1);
     simulation.run(60, 5.0, |s, _, _| if s.0 % 4 == 1 { Behavior::Hang } else { HEALTHY });
     assert_eq!(simulation.phase(1), ZonePhase::Away, "{:?}", simulation.logs);
